--- a/soak/cell/run.py
+++ b/soak/cell/run.py
@@ -2,11 +2,17 @@
 """Runs real processes of a cell against the stand-in platform, with faults from outside.
 
     soak/cell/run.py --binary build/release/rosearch --seed 7 [--seconds 15] [--nodes 4]
+                     [--also-binary OTHER/rosearch [--upgrade]]
 
 One seed draws one series of faults: processes killed, frozen, stopped and started again, settings
 read anew; the store refusing, slow or losing answers, and its way cut for single processes; workers
 restarted, leaving, losing answers. Callers use open connections until the process is gone. Ends with
 0 where no promise was broken and every accepted job ended.
+
+With --also-binary every second process runs another build, and a process that was killed or stopped
+comes back with the build that it didn't run before: leaders and followers of both builds, each reading
+what the other stored. With --upgrade all processes run --binary at first; halfway all of them are
+killed at once and come back with the other build, on the records and running tasks of the first.
 """
 
 import argparse
@@ -35,8 +41,8 @@
 class Node:
     """One process of the cell, started and ended by its own id."""
 
-    def __init__(self, number, binary, folder, proxy, advice_port):
-        self.binary, self.proxy = binary, proxy
+    def __init__(self, number, binaries, folder, proxy, advice_port):
+        self.binaries, self.proxy = binaries, proxy  # the first one is started next
         self.port, self.ready, self.peer = free_port(), free_port(), free_port()
         self.metrics = free_port()
         self.path = os.path.join(folder, f"node-{number}.json")
@@ -54,9 +60,14 @@
         self.process = None
 
     def start(self):
-        self.process = subprocess.Popen([self.binary, "join", "--settings", self.path],
+        self.process = subprocess.Popen([self.binaries[0], "join", "--settings", self.path],
                                         stdout=self.log, stderr=self.log)
 
+    def restart(self):
+        """Starts the process again, with the next of its builds."""
+        self.binaries = self.binaries[1:] + self.binaries[:1]
+        self.start()
+
     def signal(self, number):
         if self.process.poll() is None:
             self.process.send_signal(number)
@@ -126,10 +137,30 @@
         for number in range(self.options.nodes):
             proxy = stand_in.Proxy(self.store.http.port)
             await proxy.start()
-            node = Node(number, self.options.binary, self.folder, proxy, self.advice.http.port)
+            node = Node(number, self.binaries(number), self.folder, proxy, self.advice.http.port)
             node.start()
             self.nodes.append(node)
 
+    def binaries(self, number):
+        """The builds of a process, in the order in which its restarts use them."""
+        options = self.options
+        if options.also_binary is None:
+            return [options.binary]
+        if number % 2 == 0 or options.upgrade:
+            return [options.binary, options.also_binary]
+        return [options.also_binary, options.binary]
+
+    async def upgrade(self):
+        """Kills all processes at once, with jobs open, and brings the other build up."""
+        await asyncio.sleep(self.options.seconds / 2)
+        open_jobs = sum(job["accepted"] for job in self.judge.jobs.values())
+        for node in self.nodes:
+            node.signal(signal.SIGKILL)
+        for node in self.nodes:
+            node.process.wait()
+            node.restart()
+        print(f"upgraded {len(self.nodes)} processes; {open_jobs} jobs accepted before", flush=True)
+
     async def beat(self):
         while True:
             for worker in self.workers:
@@ -186,12 +217,12 @@
         node.signal(signal.SIGCONT)
         await node.end(signal.SIGKILL)
         await asyncio.sleep(span / 3)
-        node.start()
+        node.restart()
 
     async def do_term(self, node, span):
         node.signal(signal.SIGCONT)
         await node.end(signal.SIGTERM)
-        node.start()
+        node.restart()
 
     async def do_freeze(self, node, span):
         node.signal(signal.SIGSTOP)
@@ -292,7 +323,8 @@
         await self.begin()
         beat = asyncio.create_task(self.beat())
         await asyncio.sleep(2)
-        await asyncio.gather(*(self.caller(n) for n in range(4)), self.trouble())
+        changes = self.upgrade() if self.options.upgrade else self.trouble()
+        await asyncio.gather(*(self.caller(n) for n in range(4)), changes)
         await self.settle()
         await self.explain()
         beat.cancel()
@@ -313,12 +345,17 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--binary", required=True)
+    parser.add_argument("--also-binary", help="another build, run by every second process")
+    parser.add_argument("--upgrade", action="store_true",
+                        help="change from --binary to --also-binary halfway, all processes at once")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=15)
     parser.add_argument("--nodes", type=int, default=4)
     parser.add_argument("--workers", type=int, default=9)
     parser.add_argument("--logs", help="folder that keeps the processes' logs")
     options = parser.parse_args()
+    if options.upgrade and options.also_binary is None:
+        parser.error("--upgrade needs --also-binary")
     with tempfile.TemporaryDirectory() as made:
         folder = options.logs or made
         os.makedirs(folder, exist_ok=True)
