--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -1,4 +1,4 @@
-// The workers of a scheduler, and what time alone changes.
+// Worker registry and watch scheduling of `scheduler`, and its periodic work.
 #include "rosearch/sched/scheduler.h"
 
 #include <algorithm>
@@ -7,24 +7,26 @@
 namespace rosearch::sched {
 namespace {
 
-/// A worker that didn't answer is asked again after this: often enough to find it back well before
-/// its lease lapses.
-constexpr duration kSilentPause = std::chrono::milliseconds{300};
+/// Retry interval for a worker that didn't answer; short enough to reach it again well before its
+/// lease expires.
+constexpr duration kSilentRetryInterval = std::chrono::milliseconds{300};
 
-/// A worker with ends that wait for the store is watched again by then at the latest: it answers at
-/// once, and further ends must not wait for a store that is slow. Together all workers are asked no
-/// more than some 1,400 times a second, which takes a tenth of a processor.
-constexpr duration kUnackedPause = std::chrono::milliseconds{100};
-constexpr duration kUnackedPausePerWorker = std::chrono::microseconds{700};
+/// Watch interval for a worker with ends that aren't stored yet. Such a worker answers at once, so
+/// the interval limits the request rate, but new ends must not be delayed by a slow store. The
+/// interval per worker limits all workers together to about 1,400 requests per second, which takes
+/// a tenth of a processor.
+constexpr duration kUnackedWatchInterval = std::chrono::milliseconds{100};
+constexpr duration kUnackedWatchIntervalPerWorker = std::chrono::microseconds{700};
 
-/// How long a worker may keep back its answer while something runs there, and while nothing does.
-constexpr duration kBusyWait = std::chrono::milliseconds{600};
-constexpr duration kIdleWait = std::chrono::milliseconds{2'000};
+/// How long a worker may delay its answer to a watch (long poll) with and without runs on it.
+constexpr duration kBusyWatchTimeout = std::chrono::milliseconds{600};
+constexpr duration kIdleWatchTimeout = std::chrono::milliseconds{2'000};
 
-/// A late leader has workers keep back for as long as while nothing runs there what tells of no
-/// end, and lets ends collect there for about as long as it is late.
-constexpr duration kLongestCollect = std::chrono::milliseconds{500};
-constexpr duration kLongestPassPause = std::chrono::milliseconds{100};
+/// A late leader also gives workers with runs the idle timeout, for answers that report no end, and
+/// lets ends and inputs collect for about as long as it is late. These are the maximum delays per
+/// watch and per scheduling pass.
+constexpr duration kMaxCollectDelay = std::chrono::milliseconds{500};
+constexpr duration kMaxPassDelay = std::chrono::milliseconds{100};
 
 }  // namespace
 
@@ -90,8 +92,8 @@
   }
   auto& worker = *found->second;
   const bool live = worker.session == session_phase::kLive;
-  const bool over = now.steady >= worker.lease_until && !unsettled_.contains(id);
-  if (!worker.listed && worker.runs.empty() && (live || over)) {
+  const bool lease_expired = now.steady >= worker.lease_until && !unsettled_.contains(id);
+  if (!worker.listed && worker.runs.empty() && (live || lease_expired)) {
     log_.Write(event_line{"worker_dropped", event_weight::kBelief}.Add("worker", id));
     DropWorker(id);
     return std::nullopt;
@@ -99,7 +101,7 @@
   const bool answers = live && worker.silent_watches == 0;
   watch_request watch{id, worker.facts.address, worker.acked_end, answers, duration{}};
   if (answers && worker.seen_end == worker.acked_end) {
-    watch.wait = worker.runs.empty() || Late() ? kIdleWait : kBusyWait;
+    watch.wait = worker.runs.empty() || Late() ? kIdleWatchTimeout : kBusyWatchTimeout;
   }
   if (answers) {
     worker.lease_until = std::max(worker.lease_until, now.steady + LongestLease());
@@ -114,29 +116,30 @@
   }
   const auto& worker = *found->second;
   if (worker.session != session_phase::kLive) {
-    return worker.silent_watches > 0 ? kSilentPause : duration{};
+    return worker.silent_watches > 0 ? kSilentRetryInterval : duration{};
   }
-  const auto together = kUnackedPausePerWorker * static_cast<int>(workers_.size());
-  const auto collect = Late() ? std::min(loop_delay_, kLongestCollect) : duration{};
-  return worker.seen_end > worker.acked_end ? std::max({kUnackedPause, together, collect})
-                                            : collect;
+  const auto interval_for_all = kUnackedWatchIntervalPerWorker * static_cast<int>(workers_.size());
+  const auto collect_delay = Late() ? std::min(loop_delay_, kMaxCollectDelay) : duration{};
+  return worker.seen_end > worker.acked_end
+             ? std::max({kUnackedWatchInterval, interval_for_all, collect_delay})
+             : collect_delay;
 }
 
 void scheduler::NoteDelay(duration delay) {
   loop_delay_ = std::min(std::exchange(newest_delay_, delay), delay);
-  // What is taken in makes the process late only a little later, so a late one begins anew with
-  // few jobs at a time.
-  const auto taken = std::exchange(admitted_since_tick_, 0);
+  // Admitted jobs delay the process only some time after their admission, so an overloaded process
+  // halves the number of jobs that it admits per tick.
+  const auto admitted = std::exchange(admitted_since_tick_, 0);
   if (Late()) {
-    admission_limit_ = std::max(1U, std::min(taken, admission_limit_) / 2);
+    admission_limit_ = std::max(1U, std::min(admitted, admission_limit_) / 2);
   } else {
     admission_limit_ = std::min(admission_limit_ + 1, kAnyNumber);
   }
 }
 
 duration scheduler::PassPause() const {
-  // A quarter of what everything waits anyway adds little to it.
-  return std::min(loop_delay_ / 4, kLongestPassPause);
+  // A quarter of the delay that all inputs already have adds little to their waiting time.
+  return std::min(loop_delay_ / 4, kMaxPassDelay);
 }
 
 void scheduler::Tick(const instant& now) {
@@ -160,7 +163,7 @@
   }
   ListSteps();
   for (auto* const step : open_steps_) {
-    // A gang of which only a part was found after a change of leader can't work.
+    // A gang can't work if only some of its members were found after a leader change.
     if (step->spec->gang && !step->runs.empty() && OldRunsSettled() &&
         step->runs.size() < step->tasks.size()) {
       BreakGang(*step, now);
--- a/src/rosearch/sched/scheduler_jobs.cc
+++ b/src/rosearch/sched/scheduler_jobs.cc
@@ -1,4 +1,4 @@
-// The jobs of a scheduler: handing in, cancelling, what opens and what ends.
+// Jobs of `scheduler`: admission, cancellation, opening of steps, and completion.
 #include <algorithm>
 #include <chrono>
 
@@ -7,40 +7,42 @@
 namespace rosearch::sched {
 namespace {
 
-/// A step that waits for less is not worth a line: an answer for advice takes that long.
-constexpr duration kTellWaitingAfter = std::chrono::milliseconds{300};
+/// A step that waits for a shorter time isn't logged: an answer from advice takes that long.
+constexpr duration kWaitLogDelay = std::chrono::milliseconds{300};
 
-/// An ended job is looked for so often; a second's delay in forgetting costs nothing.
-constexpr duration kForgetEvery = std::chrono::seconds{1};
+/// Interval of the scan for ended jobs past their retention time; dropping one a second late is
+/// harmless.
+constexpr duration kForgetInterval = std::chrono::seconds{1};
 
-/// The most that a service's task waits after runs that end at once; callers are promised that it
-/// is back within seconds.
-constexpr duration kLongestServicePause = std::chrono::milliseconds{1'500};
+/// Maximum backoff before a service's task is restarted after short runs. Callers are promised that
+/// a service is back within seconds.
+constexpr duration kMaxServiceBackoff = std::chrono::milliseconds{1'500};
 
-/// How much one job moves the mean slack of its queue.
+/// Weight of one job in the moving average of its queue's slack.
 constexpr double kSlackWeight = 0.05;
 
-/// A cell with this share of its processors free beyond the reserve, and with places for all tasks
-/// of a job's first step, doesn't turn the job away: what waits there waits for advice, not for
-/// room. The share alone says little: where tasks of 4 processors leave 4 of 16 free at each
-/// worker, it let in twice the work that there is room for, and 9 jobs in 100 were in time instead
-/// of 45.
-constexpr double kRoomToSpare = 0.05;
-
-/// A refused caller comes back no sooner than this, so that refusing costs less than serving.
-constexpr duration kLeastRetryAfter = std::chrono::seconds{1};
-constexpr duration kMostRetryAfter = std::chrono::seconds{20};
-
-/// What admission knows of a pool is as old as this at most: to look at all runs and all that waits
-/// for each of hundreds of jobs a second costs more than placing them.
-constexpr duration kMeasureLoadEvery = std::chrono::milliseconds{50};
-/// Or after so long for each worker: it takes the same share of time whatever the size.
-constexpr duration kMeasureLoadPerWorker = std::chrono::microseconds{50};
-
-/// @return how many tasks of that need find room by processors and memory; below zero where there
-/// is
-///         less than none.
-std::int64_t Places(const resources& need, const resources& room) {
+/// A job is admitted whatever its expected wait if this share of the pool's processors is free
+/// beyond the reserve and all tasks of its first step fit: tasks that wait in such a pool wait for
+/// advice, not for room. The share alone is not enough because of fragmentation: with 4 of 16
+/// processors free on each worker it admitted twice the work that fits, and 9 instead of 45 of 100
+/// jobs met their objective.
+constexpr double kFreeShareMargin = 0.05;
+
+/// Limits of the retry delay for refused callers. The minimum keeps refusing a job cheaper than
+/// running it.
+constexpr duration kMinRetryAfter = std::chrono::seconds{1};
+constexpr duration kMaxRetryAfter = std::chrono::seconds{20};
+
+/// Minimum interval between two measurements of a pool's load. At hundreds of jobs per second,
+/// visiting all runs and waiting tasks for each job would cost more than placing the jobs.
+constexpr duration kMinMeasureInterval = std::chrono::milliseconds{50};
+/// Minimum interval per worker, so that measuring takes the same share of time in cells of any
+/// size.
+constexpr duration kMinMeasureIntervalPerWorker = std::chrono::microseconds{50};
+
+/// @return number of tasks with this need that fit by processors and memory; negative if `room` is
+///         overcommitted.
+std::int64_t CountFitting(const resources& need, const resources& room) {
   const auto by_processor =
       room.processors_milli / std::max<std::int64_t>(1, need.processors_milli);
   const auto by_memory = room.memory_mb / std::max<std::int64_t>(1, need.memory_mb);
@@ -61,7 +63,8 @@
 }
 
 void scheduler::NoteTiming(const job_state& job, bool ended, const instant& now) {
-  // Timetables and services take what their callers asked for, which tells nothing of the cell.
+  // The duration of recurring jobs and services is set by their callers, so it says nothing about
+  // the cell's performance.
   if (job.spec->occurrences == 0 && !job.spec->steps.front().service) {
     const auto handed_in = job.finish_by - job.spec->objective;
     timings_.push_back({ended, job.phase, job.priority, now.steady - handed_in});
@@ -114,22 +117,22 @@
 bool scheduler::FitsSomewhere(const job_spec& job) const {
   for (const auto& step : job.steps) {
     const auto wanted = step.gang ? step.count : 1U;
-    std::uint32_t places = 0;
+    std::uint32_t fitting = 0;
     for (const auto& [id, worker] : workers_) {
-      if (places >= wanted) {
+      if (fitting >= wanted) {
         break;
       }
       const auto& facts = worker->facts;
       if (facts.pool == job.pool && facts.HasLabel(step.required_label) &&
           step.need.FitsIn(facts.capacity)) {
-        auto most = static_cast<std::uint32_t>(Places(step.need, facts.capacity));
+        auto max_tasks = static_cast<std::uint32_t>(CountFitting(step.need, facts.capacity));
         if (step.per_worker_limit > 0) {
-          most = std::min(most, step.per_worker_limit);
+          max_tasks = std::min(max_tasks, step.per_worker_limit);
         }
-        places += std::max(1U, most);
+        fitting += std::max(1U, max_tasks);
       }
     }
-    if (places < wanted) {
+    if (fitting < wanted) {
       return false;
     }
   }
@@ -147,22 +150,22 @@
 
 bool scheduler::HasPlaces(const job_spec& job) const {
   const auto& step = job.steps.front();
-  const double kept = job.priority == 0 ? 0.0 : Reserve(job.pool);
-  std::int64_t places = 0;
+  const double reserved_share = job.priority == 0 ? 0.0 : Reserve(job.pool);
+  std::int64_t fitting = 0;
   for (const auto& [id, worker] : workers_) {
     const auto& facts = worker->facts;
-    if (places >= static_cast<std::int64_t>(step.count)) {
+    if (fitting >= static_cast<std::int64_t>(step.count)) {
       break;
     }
     if (facts.pool != job.pool || !worker->TakesWork()) {
       continue;
     }
     auto room = worker->Free();
-    room.processors_milli -=
-        static_cast<std::int64_t>(kept * static_cast<double>(facts.capacity.processors_milli));
-    places += std::max<std::int64_t>(0, Places(step.need, room));
+    room.processors_milli -= static_cast<std::int64_t>(
+        reserved_share * static_cast<double>(facts.capacity.processors_milli));
+    fitting += std::max<std::int64_t>(0, CountFitting(step.need, room));
   }
-  return places >= static_cast<std::int64_t>(step.count);
+  return fitting >= static_cast<std::int64_t>(step.count);
 }
 
 pool_load scheduler::MeasureLoad(const std::string& pool) const {
@@ -202,44 +205,45 @@
   auto& known = loads_[pool];
   if (now.steady >= known.measure_again_at) {
     known = MeasureLoad(pool);
-    const auto together = kMeasureLoadPerWorker * static_cast<int>(workers_.size());
-    known.measure_again_at = now.steady + std::max<duration>(kMeasureLoadEvery, together);
+    const auto interval_for_all = kMinMeasureIntervalPerWorker * static_cast<int>(workers_.size());
+    known.measure_again_at = now.steady + std::max<duration>(kMinMeasureInterval, interval_for_all);
   }
   return known;
 }
 
-// The load that this answers: the leader has more to do than it has time for, as its machine turned
-// slow. What is taken in then would only make all that was accepted before it late, too.
+// Lets admission refuse jobs while the leader itself is the bottleneck, for example on a machine
+// that became slow. Without it, new jobs would also delay all jobs accepted before them.
 double scheduler::WaitsForLeaderMs(const job_spec& job) const {
   const auto delay = std::chrono::duration<double, std::milli>{loop_delay_}.count();
   return delay * settings_.turns_per_step * static_cast<double>(job.steps.size());
 }
 
-// The load that this answers: bursts of long work on top of a cell that is four fifths full. What
-// can't start while its objective can still be met would only make everything behind it late too.
+// Refuses jobs that can't start in time to meet their objective, for example during bursts of long
+// jobs in a cell that is 80 % full. Without it, such jobs would also make all later ones miss their
+// objectives.
 submit_answer scheduler::Admit(const job_spec& job, const instant& now) {
-  // One job's estimates are off by half or more; the mean over its queue is not.
+  // Estimates of a single job are wrong by half or more; their mean over the queue is not.
   const double slack = MeanSlackMs(job) * settings_.admission_slack;
   if (WaitsForLeaderMs(job) > slack || admitted_since_tick_ >= admission_limit_) {
-    return {submit_verdict::kRefused, kLeastRetryAfter, "leader_busy"};
+    return {submit_verdict::kRefused, kMinRetryAfter, "leader_busy"};
   }
   const auto& load = LoadOf(job.pool, now);
-  double room = load.capacity - load.services;  // that this class of work may use
+  double room = load.capacity - load.services;  // processors that jobs of this priority may use
   for (const auto& [priority, charged] : load.running) {
     room -= priority < job.priority ? charged : 0;
   }
-  double ahead = 0;  // work that goes before it or beside it
+  double ahead = 0;  // waiting work of the same or a more urgent priority
   for (const auto& [priority, work] : load.waiting) {
     ahead += priority <= job.priority ? work : 0;
   }
   const double wait = room > 0 ? ahead / room : 0;
-  const bool has_room = load.free > room * (Reserve(job.pool) + kRoomToSpare);
+  const bool has_room = load.free > room * (Reserve(job.pool) + kFreeShareMargin);
   if (room <= 0 || wait <= slack || (has_room && HasPlaces(job))) {
     return {submit_verdict::kPending, {}, {}};
   }
-  const auto back = std::chrono::milliseconds{static_cast<std::int64_t>(wait - slack)};
-  return {submit_verdict::kRefused, std::clamp<duration>(back, kLeastRetryAfter, kMostRetryAfter),
-          "overload"};
+  const auto retry_after = std::chrono::milliseconds{static_cast<std::int64_t>(wait - slack)};
+  return {submit_verdict::kRefused,
+          std::clamp<duration>(retry_after, kMinRetryAfter, kMaxRetryAfter), "overload"};
 }
 
 submit_answer scheduler::Submit(job_spec job, const instant& now) {
@@ -256,8 +260,8 @@
                    .Add("workers", workers_.size()));
     return {submit_verdict::kRefused, {}, "never_fits"};
   }
-  const bool always = job.steps.front().service || !settings_.Uses(mechanism::kAdmission);
-  const auto admitted = always ? submit_answer{submit_verdict::kPending, {}, {}} : Admit(job, now);
+  const bool exempt = job.steps.front().service || !settings_.Uses(mechanism::kAdmission);
+  const auto admitted = exempt ? submit_answer{submit_verdict::kPending, {}, {}} : Admit(job, now);
   if (admitted.verdict == submit_verdict::kRefused) {
     log_.Write(event_line{"job_refused", event_weight::kFailure}
                    .Add("job", job.id)
@@ -267,18 +271,18 @@
     return admitted;
   }
   ++admitted_since_tick_;
-  auto made = std::make_unique<job_state>();
-  made->finish_by = now.steady + job.objective;
+  auto new_job = std::make_unique<job_state>();
+  new_job->finish_by = now.steady + job.objective;
   log_.Write(event_line{"job_received"}
                  .Add("job", job.id)
                  .Add("queue", job.queue)
                  .Add("steps", job.steps.size())
                  .Add("objective_ms", job.objective)
                  .Add("version", configuration_.version));
-  made->spec = std::make_shared<const job_spec>(std::move(job));
-  ResolveRules(*made);
-  auto& placed = *(jobs_[made->spec->id] = std::move(made));
-  MarkDirty(placed, true);
+  new_job->spec = std::make_shared<const job_spec>(std::move(job));
+  ResolveRules(*new_job);
+  auto& added_job = *(jobs_[new_job->spec->id] = std::move(new_job));
+  MarkDirty(added_job, true);
   return {submit_verdict::kPending, {}, "new"};
 }
 
@@ -311,7 +315,7 @@
   if (IsTerminal(job.stored_phase)) {
     return job.stored_phase;
   }
-  // An end that isn't stored may still be lost with this process, and the job then goes on.
+  // An end that isn't stored is lost if this process fails, and the job then continues.
   return IsTerminal(job.phase) ? job_phase::kRunning : job.phase;
 }
 
@@ -346,7 +350,7 @@
     if (ready) {
       step->open = true;
       step->open_since = now.steady;
-      step->tell_waiting_at = now.steady + kTellWaitingAfter;
+      step->tell_waiting_at = now.steady + kWaitLogDelay;
       open_steps_.push_back(step.get());
       NoteWaiting(*step);
       log_.Write(event_line{"step_open", event_weight::kDetail}
@@ -404,10 +408,11 @@
   }
   task.failed_on = worker;
   if (step.spec->service) {
-    // A service has no limit of attempts; a pause keeps one that dies at once from spinning.
+    // A service has no maximum number of attempts. The backoff prevents a restart loop when its
+    // runs fail at once.
     task.quick_ends = std::min(task.quick_ends + 1, 4U);
-    const duration pause = std::chrono::milliseconds{100} * (1U << task.quick_ends);
-    task.not_before = now.steady + std::min(pause, kLongestServicePause);
+    const duration backoff = std::chrono::milliseconds{100} * (1U << task.quick_ends);
+    task.not_before = now.steady + std::min(backoff, kMaxServiceBackoff);
     return;
   }
   task.failed_runs.push_back(run);
@@ -464,7 +469,7 @@
       continue;
     }
     if (job->live > 0 || job->dirty || !IsTerminal(job->stored_phase)) {
-      continue;  // named again when its last run ends or its record is stored
+      continue;  // listed again when its last run ends or its record is stored
     }
     DropSteps(*job);
     ended_[id] = ended_job{job->spec->queue, job->phase, job->ended_ms};
@@ -476,14 +481,14 @@
   if (now.steady < next_forget_) {
     return;
   }
-  next_forget_ = now.steady + kForgetEvery;
+  next_forget_ = now.steady + kForgetInterval;
   const auto keep = std::chrono::duration_cast<std::chrono::milliseconds>(settings_.keep_ended);
   std::erase_if(ended_, [&](const auto& each) {
-    const bool old = now.wall_ms - each.second.ended_ms > keep.count();
-    if (old) {
+    const bool expired = now.wall_ms - each.second.ended_ms > keep.count();
+    if (expired) {
       forgotten_.push_back(each.first);
     }
-    return old;
+    return expired;
   });
 }
 
--- a/src/rosearch/sched/scheduler_reports.cc
+++ b/src/rosearch/sched/scheduler_reports.cc
@@ -1,4 +1,4 @@
-// What a scheduler makes of the workers' reports, and of their silence.
+// Handling of worker reports and of workers that don't answer in `scheduler`.
 #include <algorithm>
 #include <chrono>
 #include <utility>
@@ -9,17 +9,18 @@
 namespace rosearch::sched {
 namespace {
 
-/// A worker lists at most so many ends at once; a list of that length may hide later ones.
-constexpr std::size_t kFullList = 500;
+/// Maximum number of ends in one report. A list of this length may be truncated.
+constexpr std::size_t kMaxListedEnds = 500;
 
-/// Tails at this share of their target slow down what fills beside them, and below the second it
-/// gets its speed back.
-constexpr double kTailHigh = 0.75;
-constexpr double kTailLow = 0.5;
-constexpr std::uint32_t kPaceStep = 25;
+/// Shares of a service's tail latency target. Runs on leftover processors are throttled above the
+/// high share and get their speed back below the low share.
+constexpr double kHighTailShare = 0.75;
+constexpr double kLowTailShare = 0.5;
+constexpr std::uint32_t kPaceStepPercent = 25;
 
-/// Beyond what resuming takes: an order on its way, and a report that is a little old.
-constexpr duration kSettled = std::chrono::milliseconds{150};
+/// Added to the restore time before a run's speed is measured; covers the delivery of the start
+/// order and the age of the report.
+constexpr duration kSpeedMeasureDelay = std::chrono::milliseconds{150};
 
 }  // namespace
 
@@ -28,11 +29,11 @@
     EndRun(*run, row.how, row.checkpoint, now);
     return;
   }
-  // An end of a run that an earlier leader began, or that was taken for lost.
+  // The run was started by an earlier leader or has already been ended as lost.
   const auto name = task_name::Parse(row.task);
   auto* const step = name ? FindStep(*name) : nullptr;
-  const bool counts = row.how == end_kind::kDone || row.how == end_kind::kFailed;
-  if (step == nullptr || IsTerminal(step->job->phase) || !counts) {
+  const bool has_result = row.how == end_kind::kDone || row.how == end_kind::kFailed;
+  if (step == nullptr || IsTerminal(step->job->phase) || !has_result) {
     return;
   }
   log_.Write(event_line{"old_run_ended", event_weight::kDetail}
@@ -48,14 +49,14 @@
 }
 
 void scheduler::StopStranger(worker_state& worker, const running_row& row, const instant& now) {
-  auto made = std::make_unique<live_run>();
-  made->task = row.task;
-  made->run = row.run;
-  made->worker = &worker;
-  made->started_at = now.steady;
-  made->progressed_at = now.steady;
+  auto new_run = std::make_unique<live_run>();
+  new_run->task = row.task;
+  new_run->run = row.run;
+  new_run->worker = &worker;
+  new_run->started_at = now.steady;
+  new_run->progressed_at = now.steady;
   ++worker.strangers;
-  auto& run = *(worker.runs[row.task] = std::move(made));
+  auto& run = *(worker.runs[row.task] = std::move(new_run));
   StopRun(run, stop_reason::kStranger, now);
 }
 
@@ -86,10 +87,10 @@
 
 void scheduler::LookForMissing(worker_state& worker, time_point sent_at,
                                const worker_report& report, const instant& now) {
-  if (report.ended.size() >= kFullList) {
+  if (report.ended.size() >= kMaxListedEnds) {
     return;
   }
-  std::vector<live_run*> gone;
+  std::vector<live_run*> ended_runs;
   for (const auto& each : worker.runs) {
     auto& run = *each.second;
     const bool listed = std::ranges::any_of(report.running, [&](const running_row& row) {
@@ -100,12 +101,12 @@
       continue;
     }
     const bool stopped = run.phase == run_phase::kStopping && run.stop_heard;
-    const bool vanished = run.phase == run_phase::kRunning && std::exchange(run.missing, true);
-    if (stopped || vanished) {
-      gone.push_back(&run);
+    const bool missing_twice = run.phase == run_phase::kRunning && std::exchange(run.missing, true);
+    if (stopped || missing_twice) {
+      ended_runs.push_back(&run);
     }
   }
-  for (auto* const run : gone) {
+  for (auto* const run : ended_runs) {
     EndRun(*run, run->phase == run_phase::kStopping ? end_kind::kStopped : end_kind::kLost, {},
            now);
   }
@@ -155,7 +156,8 @@
       run.percent = row.percent;
       run.progressed_at = now.steady;
     }
-    if (!run.measured_from && now.steady >= run.started_at + settings_.restore + kSettled) {
+    if (!run.measured_from &&
+        now.steady >= run.started_at + settings_.restore + kSpeedMeasureDelay) {
       run.measured_from = progress_mark{now.steady, row.percent};
     }
     run.load = row.load;
@@ -201,8 +203,8 @@
     return;
   }
   ++worker.silent_watches;
-  const bool enough = worker.silent_watches >= settings_.silent_after;
-  if (worker.session == session_phase::kLive && enough) {
+  const bool unresponsive = worker.silent_watches >= settings_.silent_after;
+  if (worker.session == session_phase::kLive && unresponsive) {
     worker.session = session_phase::kSilent;
     worker.recorded = false;
     workers_dirty_ = true;
@@ -217,7 +219,8 @@
   if (unsettled_.erase(id) == 0) {
     return;
   }
-  // While many are unsettled, old work waits for all of them: one more answer unblocks nothing.
+  // While many workers are unsettled, old tasks wait for all of them, so a single answer can't
+  // unblock a step.
   if (unsettled_.size() <= kMostUnseen) {
     NoteRoomEverywhere();
   }
@@ -284,15 +287,15 @@
   if (!worker.facts.draining || worker.session != session_phase::kLive) {
     return;
   }
-  const auto last_call = worker.leaves_at - settings_.stop_timeout - settings_.stuck_after / 2;
+  const auto stop_at = worker.leaves_at - settings_.stop_timeout - settings_.stuck_after / 2;
   for (const auto& [task, run] : worker.runs) {
     if (run->phase != run_phase::kRunning || run->step == nullptr) {
       continue;
     }
     const auto& spec = *run->step->spec;
-    // A service gains nothing by staying; what saves its progress is stopped just in time, so that
-    // the newest checkpoint comes along.
-    const bool in_time = spec.service || (spec.checkpoints && now.steady >= last_call);
+    // A service gains nothing by staying, so it is stopped at once. A run with checkpoints is
+    // stopped as late as possible, so that its newest checkpoint is kept.
+    const bool in_time = spec.service || (spec.checkpoints && now.steady >= stop_at);
     if (!in_time) {
       continue;
     }
@@ -308,14 +311,14 @@
   if (worker.leftover_runs == 0 || worker.service_runs == 0) {
     return;
   }
-  double worst = 0;
+  double worst_tail_ratio = 0;
   for (const auto& [task, run] : worker.runs) {
     if (run->step == nullptr || run->step->spec->tail_target.count() == 0) {
       continue;
     }
     const auto target =
         std::chrono::duration<double, std::milli>{run->step->spec->tail_target}.count();
-    worst = std::max(worst, run->load / target);
+    worst_tail_ratio = std::max(worst_tail_ratio, run->load / target);
   }
   for (const auto& [task, run] : worker.runs) {
     if (run->step == nullptr || !run->step->spec->uses_leftover ||
@@ -323,12 +326,12 @@
       continue;
     }
     auto pace = run->pace;
-    if (worst > 1) {
+    if (worst_tail_ratio > 1) {
       pace = 0;
-    } else if (worst > kTailHigh) {
-      pace = pace > kPaceStep ? pace - kPaceStep : 0;
-    } else if (worst < kTailLow) {
-      pace = std::min(100U, pace + kPaceStep);
+    } else if (worst_tail_ratio > kHighTailShare) {
+      pace = pace > kPaceStepPercent ? pace - kPaceStepPercent : 0;
+    } else if (worst_tail_ratio < kLowTailShare) {
+      pace = std::min(100U, pace + kPaceStepPercent);
     }
     if (pace == run->pace) {
       continue;
@@ -340,7 +343,7 @@
                    .Add("task", run->task)
                    .Add("worker", worker.facts.id)
                    .Add("percent", pace)
-                   .Add("tail_percent", static_cast<int>(worst * 100)));
+                   .Add("tail_percent", static_cast<int>(worst_tail_ratio * 100)));
   }
 }
 
--- a/src/rosearch/sched/scheduler_runs.cc
+++ b/src/rosearch/sched/scheduler_runs.cc
@@ -1,4 +1,4 @@
-// The runs of a scheduler: from the order to start one until it is certainly over.
+// Life cycle of the runs of `scheduler`, from the start order to the confirmed end.
 #include <algorithm>
 #include <chrono>
 
@@ -7,16 +7,16 @@
 namespace rosearch::sched {
 namespace {
 
-/// A worker that an order didn't reach is left alone for so long.
-constexpr duration kUnreachedPause = std::chrono::milliseconds{300};
+/// Backoff for a worker that a start order didn't reach.
+constexpr duration kUnreachableBackoff = std::chrono::milliseconds{300};
 
-/// A run shorter than this doesn't count as a service that came up.
-constexpr duration kQuickEnd = std::chrono::seconds{2};
+/// A service's run must last longer than this to reset the restart backoff.
+constexpr duration kMinServiceUptime = std::chrono::seconds{2};
 
-/// Runs of one task under one leadership; more would collide with the next leadership's numbers.
-constexpr std::uint32_t kRunsPerEpoch = 10'000;
+/// Maximum number of runs of one task per epoch; more would collide with numbers of the next epoch.
+constexpr std::uint32_t kMaxRunsPerEpoch = 10'000;
 
-std::string_view OutcomeWord(start_outcome outcome) {
+std::string_view OutcomeName(start_outcome outcome) {
   constexpr std::string_view kNames[]{"started",     "not_sent",   "no_room",  "bad_ticket",
                                       "stale_fence", "stale_run",  "too_late", "unhealthy",
                                       "rejected",    "other_life", "unknown"};
@@ -26,13 +26,13 @@
 }  // namespace
 
 std::uint32_t scheduler::RunNumber(std::uint32_t count) const {
-  return static_cast<std::uint32_t>((epoch_ - 1) * kRunsPerEpoch + count);
+  return static_cast<std::uint32_t>((epoch_ - 1) * kMaxRunsPerEpoch + count);
 }
 
 duration scheduler::LongestLease() const {
-  const auto slow = std::chrono::duration<double, std::micro>{settings_.max_lease} *
-                    (1.0 + settings_.clock_slack);
-  return std::chrono::duration_cast<duration>(slow) + settings_.lapse_margin;
+  const auto lease_bound = std::chrono::duration<double, std::micro>{settings_.max_lease} *
+                           (1.0 + settings_.clock_slack);
+  return std::chrono::duration_cast<duration>(lease_bound) + settings_.lapse_margin;
 }
 
 live_run* scheduler::FindRun(const std::string& worker, const std::string& task,
@@ -51,29 +51,29 @@
   if (step.job->phase == job_phase::kQueued) {
     NoteTiming(*step.job, false, now);
   }
-  auto made = std::make_unique<live_run>();
-  made->task = step.Name() + '.' + std::to_string(index);
-  made->run = number;
-  made->worker = &worker;
-  made->step = &step;
-  made->index = index;
-  made->charged = step.spec->need;
+  auto new_run = std::make_unique<live_run>();
+  new_run->task = step.Name() + '.' + std::to_string(index);
+  new_run->run = number;
+  new_run->worker = &worker;
+  new_run->step = &step;
+  new_run->index = index;
+  new_run->charged = step.spec->need;
   if (step.spec->uses_leftover) {
-    made->charged.processors_milli = 0;
+    new_run->charged.processors_milli = 0;
   }
-  made->started_at = now.steady;
-  made->progressed_at = now.steady;
+  new_run->started_at = now.steady;
+  new_run->progressed_at = now.steady;
   ++step.tasks[index].live;
   step.tasks[index].wants_copy = false;
   ++step.job->live;
   step.job->phase = job_phase::kRunning;
-  step.runs.push_back(made.get());
-  worker.used = worker.used + made->charged;
+  step.runs.push_back(new_run.get());
+  worker.used = worker.used + new_run->charged;
   fill_.Update(worker);
   worker.service_runs += step.spec->service ? 1 : 0;
   worker.leftover_runs += step.spec->uses_leftover ? 1 : 0;
-  auto& run = *made;
-  worker.runs[run.task] = std::move(made);
+  auto& run = *new_run;
+  worker.runs[run.task] = std::move(new_run);
   return run;
 }
 
@@ -173,10 +173,10 @@
   const auto index = run.index;
   const auto number = run.run;
   const auto& newest = checkpoint.empty() ? run.checkpoint : checkpoint;
-  const std::string kept = newest;
+  const std::string newest_checkpoint = newest;
   const auto took = now.steady - run.started_at;
-  const bool good = how == end_kind::kDone || how == end_kind::kStopped;
-  log_.Write(event_line{"run_ended", good ? event_weight::kDetail : event_weight::kFailure}
+  const bool expected = how == end_kind::kDone || how == end_kind::kStopped;
+  log_.Write(event_line{"run_ended", expected ? event_weight::kDetail : event_weight::kFailure}
                  .Add("task", run.task)
                  .Add("run", number)
                  .Add("worker", worker.facts.id)
@@ -191,7 +191,7 @@
                    .Add("worker", worker.facts.id)
                    .Add("cause", "failures"));
   }
-  if (step != nullptr && step->spec->service && took > kQuickEnd) {
+  if (step != nullptr && step->spec->service && took > kMinServiceUptime) {
     step->tasks[index].quick_ends = 0;
   }
   Detach(run);
@@ -199,9 +199,9 @@
     return;
   }
   if (step->spec->gang) {
-    ApplyGangEnd(*step, number, how, worker.facts.id, kept, now);
+    ApplyGangEnd(*step, number, how, worker.facts.id, newest_checkpoint, now);
   } else {
-    ApplyEnd(*step, index, number, how, worker.facts.id, kept, now);
+    ApplyEnd(*step, index, number, how, worker.facts.id, newest_checkpoint, now);
   }
 }
 
@@ -229,7 +229,8 @@
   if (IsTerminal(step.job->phase) || step.Finished()) {
     return;
   }
-  // One member's checkpoint is good for all of them, and all must resume from the same.
+  // A checkpoint of one member is valid for the whole gang, and all members must resume from the
+  // same checkpoint.
   if (step.spec->checkpoints && !checkpoint.empty()) {
     step.tasks.front().checkpoint = checkpoint;
     MarkDirty(*step.job, false);
@@ -282,11 +283,11 @@
                  .Add("task", run->task)
                  .Add("run", run->run)
                  .Add("worker", sent.worker)
-                 .Add("outcome", OutcomeWord(outcome))
+                 .Add("outcome", OutcomeName(outcome))
                  .Add("tries", run->tries));
   if (outcome == start_outcome::kStaleRun) {
-    // That very run was there before: another copy of the order was carried out and has ended. Its
-    // end stands in a report to come; taken for refused, the task would run twice.
+    // The worker already executed another copy of this order, and that run has ended. A later
+    // report will contain its end; if the start were handled as refused, the task would run twice.
     run->phase = run_phase::kRunning;
     run->known_at = now.steady;
     return;
@@ -309,13 +310,13 @@
       allowance->expires = time_point{};
     }
   } else if (outcome == start_outcome::kNotSent) {
-    worker.health.Pause(now.steady + kUnreachedPause);
+    worker.health.Pause(now.steady + kUnreachableBackoff);
   } else {
     worker.health.Pause(now.steady + settings_.refusal_pause);
   }
   if (run.tries > 1) {
-    // An earlier sending was never answered and may still be carried out, whatever became of this
-    // one: a second run of the task elsewhere would then run beside it.
+    // An earlier copy of the order was never answered and may still be executed. Without the stop,
+    // a new run of the task could execute concurrently with it.
     StopRun(run, stop_reason::kUnanswered, now);
     return;
   }
@@ -340,7 +341,7 @@
 
 void scheduler::RetryOrders(worker_state& worker, const instant& now) {
   if (worker.session != session_phase::kLive) {
-    return;  // a silent worker answers again first, or its lease lapses
+    return;  // retried once the worker answers again; otherwise its lease expires
   }
   for (const auto& [task, run] : worker.runs) {
     if (run->next_try > now.steady) {
--- a/src/rosearch/sched/scheduler_store.cc
+++ b/src/rosearch/sched/scheduler_store.cc
@@ -1,4 +1,4 @@
-// What a scheduler keeps in the store, and how it takes over what is there.
+// Stored state of `scheduler`: writing record batches and restoring them after a leader change.
 #include <algorithm>
 #include <chrono>
 
@@ -9,7 +9,7 @@
 namespace rosearch::sched {
 namespace {
 
-// Keys of records: a letter for the kind, then the job's id.
+// Record keys: a letter for the kind of record, followed by the job's id.
 constexpr char kJobKey = 'j';
 constexpr char kProgressKey = 'p';
 constexpr std::string_view kWorkersKey = "w";
@@ -21,7 +21,7 @@
 struct scheduler::stored_effects {
   std::vector<std::string> new_jobs;
   std::vector<std::pair<std::string, job_phase>> progress;
-  std::vector<std::pair<std::string, std::uint64_t>> ends;  ///< worker, newest end taken in
+  std::vector<std::pair<std::string, std::uint64_t>> ends;  ///< worker, newest processed end
   std::vector<std::string> recorded;                        ///< workers
   std::vector<std::string> forgotten;
   bool workers{false};
@@ -40,7 +40,7 @@
     }
     for (const auto& stored : workers.workers()) {
       auto& worker = workers_[stored.id()];
-      if (!worker) {  // not seen in the registry, so far
+      if (!worker) {  // not in the registry yet
         worker = std::make_unique<worker_state>();
         worker->facts.id = stored.id();
         worker->facts.address = stored.address();
@@ -88,13 +88,13 @@
   job->spec = std::make_shared<const job_spec>(std::move(*spec));
   ResolveRules(*job);
   ApplyProgress(progress, *job);
-  auto& placed = *(jobs_[id] = std::move(job));
-  for (auto& occurrence : placed.occurrences) {
+  auto& restored_job = *(jobs_[id] = std::move(job));
+  for (auto& occurrence : restored_job.occurrences) {
     if (!occurrence->done) {
-      OpenSteps(placed, *occurrence, now);
+      OpenSteps(restored_job, *occurrence, now);
     }
   }
-  OpenDue(placed, now);
+  OpenDue(restored_job, now);
 }
 
 void scheduler::FinishRestore(const instant& now) {
@@ -232,7 +232,7 @@
   if (FindJob(id) == nullptr) {
     return;
   }
-  // It was never accepted, so nothing of it has started; whoever sent it is told so.
+  // The job was never accepted, so none of its tasks has started. Its caller gets the refusal.
   std::erase(dirty_, id);
   jobs_.erase(id);
   settled_.push_back({id, false, false, reason});
--- a/src/rosearch/sched/scheduler_views.cc
+++ b/src/rosearch/sched/scheduler_views.cc
@@ -1,4 +1,4 @@
-// What a scheduler shows to people.
+// Diagnostic output of `scheduler`: counts, dumps, and reasons why steps wait.
 #include <algorithm>
 #include <chrono>
 #include <sstream>
@@ -8,8 +8,8 @@
 namespace rosearch::sched {
 namespace {
 
-/// Between two lines about what one step waits for.
-constexpr duration kTellWaitingEvery = std::chrono::seconds{2};
+/// Minimum interval between two log lines about the same waiting step.
+constexpr duration kWaitLogInterval = std::chrono::seconds{2};
 
 std::int64_t Millis(duration span) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
@@ -25,11 +25,11 @@
   return kNames[static_cast<std::size_t>(phase)];
 }
 
-std::ostream& operator<<(std::ostream& out, const wait_view& why) {
-  return out << why.what << " unsettled=" << why.unsettled << " out_of_use=" << why.out_of_use
-             << " left_alone=" << why.left_alone << " unfit=" << why.unfit
-             << " not_allowed=" << why.not_allowed << " no_room=" << why.no_room
-             << " open=" << why.open;
+std::ostream& operator<<(std::ostream& out, const wait_view& wait) {
+  return out << wait.what << " unsettled=" << wait.unsettled << " out_of_use=" << wait.out_of_use
+             << " left_alone=" << wait.left_alone << " unfit=" << wait.unfit
+             << " not_allowed=" << wait.not_allowed << " no_room=" << wait.no_room
+             << " open=" << wait.open;
 }
 
 }  // namespace
@@ -100,21 +100,21 @@
   if (now.steady < step.tell_waiting_at) {
     return;
   }
-  step.tell_waiting_at = now.steady + kTellWaitingEvery;
-  const auto why = WhyWaiting(step, now);
+  step.tell_waiting_at = now.steady + kWaitLogInterval;
+  const auto wait = WhyWaiting(step, now);
   log_.Write(event_line{"step_waits", event_weight::kDetail}
                  .Add("job", step.job->spec->id)
                  .Add("step", step.Name())
                  .Add("idle", step.Idle())
                  .Add("left_ms", step.job->finish_by - now.steady)
-                 .Add("waits_for", why.what)
-                 .Add("unsettled", why.unsettled)
-                 .Add("out_of_use", why.out_of_use)
-                 .Add("left_alone", why.left_alone)
-                 .Add("unfit", why.unfit)
-                 .Add("not_allowed", why.not_allowed)
-                 .Add("no_room", why.no_room)
-                 .Add("open", why.open));
+                 .Add("waits_for", wait.what)
+                 .Add("unsettled", wait.unsettled)
+                 .Add("out_of_use", wait.out_of_use)
+                 .Add("left_alone", wait.left_alone)
+                 .Add("unfit", wait.unfit)
+                 .Add("not_allowed", wait.not_allowed)
+                 .Add("no_room", wait.no_room)
+                 .Add("open", wait.open));
 }
 
 std::string scheduler::Dump(const instant& now) const {
