--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -22,9 +22,9 @@
 constexpr duration kBusyWatchTimeout = std::chrono::milliseconds{600};
 constexpr duration kIdleWatchTimeout = std::chrono::milliseconds{2'000};
 
-/// A late leader also gives workers with runs the idle timeout, for answers that report no end, and
-/// lets ends and inputs collect for about as long as it is late. These are the maximum delays per
-/// watch and per scheduling pass.
+/// Maximum extra delays of a watch and of a scheduling pass while the leader is late, so that it
+/// handles more ends and inputs at a time. A late leader also gives workers with runs the idle
+/// timeout, which delays only answers that report no end.
 constexpr duration kMaxCollectDelay = std::chrono::milliseconds{500};
 constexpr duration kMaxPassDelay = std::chrono::milliseconds{100};
 
--- a/src/rosearch/sched/scheduler_jobs.cc
+++ b/src/rosearch/sched/scheduler_jobs.cc
@@ -29,15 +29,15 @@
 constexpr double kFreeShareMargin = 0.05;
 
 /// Limits of the retry delay for refused callers. The minimum keeps refusing a job cheaper than
-/// running it.
+/// serving it.
 constexpr duration kMinRetryAfter = std::chrono::seconds{1};
 constexpr duration kMaxRetryAfter = std::chrono::seconds{20};
 
 /// Minimum interval between two measurements of a pool's load. At hundreds of jobs per second,
 /// visiting all runs and waiting tasks for each job would cost more than placing the jobs.
 constexpr duration kMinMeasureInterval = std::chrono::milliseconds{50};
-/// Minimum interval per worker, so that measuring takes the same share of time in cells of any
-/// size.
+/// Multiplied by the number of workers, so that measuring takes the same share of time in cells of
+/// any size.
 constexpr duration kMinMeasureIntervalPerWorker = std::chrono::microseconds{50};
 
 /// @return number of tasks with this need that fit by processors and memory; negative if `room` is
