--- a/src/rosearch/cell/cell_metrics.h
+++ b/src/rosearch/cell/cell_metrics.h
@@ -8,7 +8,7 @@
 
 namespace rosearch::cell {
 
-/// Says what each metric of a cell's process tells.
+/// Registers the help texts of the metrics of a cell's process.
 void DescribeCellMetrics(metric_set& metrics);
 
 /// @return a metric's name with one label.
--- a/src/rosearch/cell/cell_settings.cc
+++ b/src/rosearch/cell/cell_settings.cc
@@ -11,19 +11,19 @@
 
 namespace json = boost::json;
 
-/// Reads values of one JSON object and remembers the first that is wrong.
-class reader {
+/// Reads values of one JSON object and records the first error.
+class settings_reader {
  public:
-  explicit reader(const json::object& from) : from_{from} {}
+  explicit settings_reader(const json::object& from) : from_{from} {}
 
   std::string Text(std::string_view key, bool required) {
     const auto* const value = from_.if_contains(key);
     if (value == nullptr || value->is_null()) {
-      Require(required, key, "is missing");
+      RecordErrorIf(required, key, "is missing");
       return {};
     }
     if (!value->is_string()) {
-      Require(true, key, "is not a text");
+      RecordErrorIf(true, key, "is not a string");
       return {};
     }
     return std::string{value->as_string()};
@@ -32,60 +32,60 @@
   std::string Address(std::string_view key, bool required) {
     auto text = Text(key, required);
     if (!text.empty() && !IsAddress(text)) {
-      Require(true, key, "is not host:port");
+      RecordErrorIf(true, key, "is not host:port");
     }
     return text;
   }
 
-  double Number(std::string_view key, double otherwise, double least, double most) {
+  double Number(std::string_view key, double default_value, double min, double max) {
     const auto* const value = from_.if_contains(key);
     if (value == nullptr || value->is_null()) {
-      return otherwise;
+      return default_value;
     }
     if (!value->is_number()) {
-      Require(true, key, "is not a number");
-      return otherwise;
+      RecordErrorIf(true, key, "is not a number");
+      return default_value;
     }
     const auto number = value->to_number<double>();
-    if (!std::isfinite(number) || number < least || number > most) {
-      Require(true, key, "is out of range");
-      return otherwise;
+    if (!std::isfinite(number) || number < min || number > max) {
+      RecordErrorIf(true, key, "is out of range");
+      return default_value;
     }
     return number;
   }
 
-  duration Millis(std::string_view key, duration otherwise) {
+  duration Milliseconds(std::string_view key, duration default_value) {
     constexpr double kDayMs = 86'400'000;
-    const auto ms = std::chrono::duration<double, std::milli>{otherwise}.count();
+    const auto ms = std::chrono::duration<double, std::milli>{default_value}.count();
     return std::chrono::duration_cast<duration>(
         std::chrono::duration<double, std::milli>{Number(key, ms, 0, kDayMs)});
   }
 
   std::vector<std::string> Texts(std::string_view key) {
-    std::vector<std::string> found;
+    std::vector<std::string> values;
     const auto* const value = from_.if_contains(key);
     if (value == nullptr || value->is_null()) {
-      return found;
+      return values;
     }
     if (!value->is_array()) {
-      Require(true, key, "is not a list");
-      return found;
+      RecordErrorIf(true, key, "is not a list");
+      return values;
     }
     for (const auto& each : value->as_array()) {
       if (each.is_string()) {
-        found.emplace_back(each.as_string());
+        values.emplace_back(each.as_string());
       }
     }
-    return found;
+    return values;
   }
 
   std::vector<std::string> Addresses(std::string_view key) {
-    auto found = Texts(key);
-    std::erase_if(found, [](const auto& text) { return !IsAddress(text); });
-    return found;
+    auto values = Texts(key);
+    std::erase_if(values, [](const auto& text) { return !IsAddress(text); });
+    return values;
   }
 
-  [[nodiscard]] const std::string& fault() const { return fault_; }
+  [[nodiscard]] const std::string& first_error() const { return first_error_; }
 
  private:
   static bool IsAddress(std::string_view text) {
@@ -98,14 +98,14 @@
     const auto parsed = std::from_chars(text.data() + colon + 1, end, port);
     return parsed.ec == std::errc{} && parsed.ptr == end;
   }
-  void Require(bool broken, std::string_view key, std::string_view what) {
-    if (broken && fault_.empty()) {
-      fault_ = std::string{key} + ' ' + std::string{what};
+  void RecordErrorIf(bool failed, std::string_view key, std::string_view what) {
+    if (failed && first_error_.empty()) {
+      first_error_ = std::string{key} + ' ' + std::string{what};
     }
   }
 
   const json::object& from_;
-  std::string fault_;
+  std::string first_error_;
 };
 
 }  // namespace
@@ -116,49 +116,49 @@
   if (failed || !parsed.is_object()) {
     return error{error_kind::kInvalidRequest, "settings are not a JSON object"};
   }
-  reader in{parsed.as_object()};
-  cell_settings made;
-  made.name = in.Text("name", true);
-  made.callers_address = in.Address("callers_address", true);
-  made.ready_address = in.Address("ready_address", true);
-  made.metrics_address = in.Address("metrics_address", false);
-  made.peer_address = in.Address("peer_address", true);
-  // Only the hosts of seeds count: the port for messages is the same everywhere.
-  const auto port =
-      made.peer_address.substr(std::min(made.peer_address.size(), made.peer_address.rfind(':')));
+  settings_reader in{parsed.as_object()};
+  cell_settings settings;
+  settings.name = in.Text("name", true);
+  settings.callers_address = in.Address("callers_address", true);
+  settings.ready_address = in.Address("ready_address", true);
+  settings.metrics_address = in.Address("metrics_address", false);
+  settings.peer_address = in.Address("peer_address", true);
+  // Only the host of each seed is used: the peer port is the same for all processes.
+  const auto port = settings.peer_address.substr(
+      std::min(settings.peer_address.size(), settings.peer_address.rfind(':')));
   for (const auto& seed : in.Addresses("seeds")) {
-    made.seeds.push_back(seed.substr(0, seed.rfind(':')) + port);
+    settings.seeds.push_back(seed.substr(0, seed.rfind(':')) + port);
   }
-  made.store_address = in.Address("store_address", true);
-  made.advice_address = in.Address("advice_address", false);
-  made.processor_milli =
+  settings.store_address = in.Address("store_address", true);
+  settings.advice_address = in.Address("advice_address", false);
+  settings.processor_milli =
       static_cast<std::uint32_t>(in.Number("processors", 1.0, 0.001, 1024) * 1000);
-  made.file_descriptors =
+  settings.file_descriptors =
       static_cast<std::uint32_t>(in.Number("file_descriptors", 1024, 64, 1'000'000));
-  made.grace = std::chrono::milliseconds{
+  settings.grace = std::chrono::milliseconds{
       static_cast<std::int64_t>(in.Number("grace_s", 6, 0.5, 3'600) * 1000)};
-  auto& scheduler = made.leading.scheduler;
+  auto& scheduler = settings.leading.scheduler;
   scheduler.max_lease =
-      std::min(sched::kLongestLease, in.Millis("max_lease_ms", scheduler.max_lease));
-  scheduler.stop_timeout = in.Millis("stop_timeout_ms", scheduler.stop_timeout);
+      std::min(sched::kLongestLease, in.Milliseconds("max_lease_ms", scheduler.max_lease));
+  scheduler.stop_timeout = in.Milliseconds("stop_timeout_ms", scheduler.stop_timeout);
   for (const auto& name : in.Texts("without")) {
     const auto which = sched::MechanismNamed(name);
     if (!which) {
-      return error{error_kind::kInvalidRequest, "without names no mechanism: " + name};
+      return error{error_kind::kInvalidRequest, "without holds an unknown mechanism: " + name};
     }
     scheduler.off.Add(*which);
   }
   if (!scheduler.Uses(sched::mechanism::kBatchesBeside)) {
-    made.leading.batches = 1;
+    settings.leading.batches = 1;
   }
   if (!scheduler.Uses(sched::mechanism::kEarlyElection)) {
-    made.electing.broken_after = made.electing.suspect_after;
+    settings.electing.broken_after = settings.electing.suspect_after;
   }
-  scheduler.restore = in.Millis("restore_ms", scheduler.restore);
-  if (!in.fault().empty()) {
-    return error{error_kind::kInvalidRequest, in.fault()};
+  scheduler.restore = in.Milliseconds("restore_ms", scheduler.restore);
+  if (!in.first_error().empty()) {
+    return error{error_kind::kInvalidRequest, in.first_error()};
   }
-  return made;
+  return settings;
 }
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/cell_settings.h
+++ b/src/rosearch/cell/cell_settings.h
@@ -14,17 +14,17 @@
 
 /// Settings of one process of a cell.
 struct cell_settings {
-  std::string name;                ///< of the VM, for people and logs
-  std::string callers_address;     ///< host:port where callers' connections arrive
-  std::string ready_address;       ///< host:port where the balancer asks whether to send callers
-  std::string metrics_address;     ///< host:port of metrics and dump; empty: none
-  std::string peer_address;        ///< host:port for messages between the cell's processes
-  std::vector<std::string> seeds;  ///< peer addresses of processes that may be there
-  std::string store_address;       ///< host:port of the platform's store
-  std::string advice_address;      ///< host:port of the advice service; empty: none
-  std::uint32_t processor_milli{1000};  ///< thousandths of a processor this process may use
+  std::string name;                     ///< name of the VM, for operators and logs
+  std::string callers_address;          ///< host:port that listens for callers
+  std::string ready_address;            ///< host:port of the load balancer's readiness check
+  std::string metrics_address;          ///< host:port of metrics and dump; empty: none
+  std::string peer_address;             ///< host:port for messages between processes of the cell
+  std::vector<std::string> seeds;       ///< peer addresses of possible processes of the cell
+  std::string store_address;            ///< host:port of the platform's store
+  std::string advice_address;           ///< host:port of the advice service; empty: none
+  std::uint32_t processor_milli{1000};  ///< processor limit in thousandths of a processor
   std::uint32_t file_descriptors{1024};
-  duration grace{std::chrono::seconds{6}};  ///< after an order to stop the process is killed then
+  duration grace{std::chrono::seconds{6}};  ///< time from a stop order until the process is killed
   leader_settings leading{};
   election_settings electing{};
 
@@ -33,7 +33,7 @@
 
 /// Reads a settings file.
 /// @param text  JSON as docs/SETTINGS.md describes it.
-/// @return the settings, or what is wrong with them.
+/// @return the settings, or the first error found.
 [[nodiscard]] result<cell_settings> ParseCellSettings(const std::string& text);
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/election.cc
+++ b/src/rosearch/cell/election.cc
@@ -45,13 +45,13 @@
 }
 
 duration election::OwnDelay(time_point now) const {
-  // From 0 in the first second to 1 after about a quarter of an hour, a tenth for each doubling.
+  // Rises from 0 in the first second to 1 after about 17 minutes, by 0.1 per doubling.
   const auto seconds = std::max(1.0, std::chrono::duration<double>{now - began_}.count());
-  const auto age = std::min(1.0, std::log2(seconds) / 10);
-  const auto old = std::chrono::duration_cast<duration>(settings_.old_waits * age);
-  const auto spread = std::chrono::duration_cast<duration>(settings_.spread * jitter_);
-  const auto late = now < late_until_ ? settings_.late_waits : duration{};
-  return old + spread + late + Patience();
+  const auto age_factor = std::min(1.0, std::log2(seconds) / 10);
+  const auto age_delay = std::chrono::duration_cast<duration>(settings_.old_waits * age_factor);
+  const auto jitter_delay = std::chrono::duration_cast<duration>(settings_.spread * jitter_);
+  const auto late_delay = now < late_until_ ? settings_.late_waits : duration{};
+  return age_delay + jitter_delay + late_delay + Patience();
 }
 
 bool election::Hears(time_point now) const { return !leaving_ && Reaches(now); }
@@ -68,24 +68,24 @@
   if (leaving_ || known_.epoch == 0) {
     return true;
   }
-  // Small processes ask nobody while larger ones do: thirty that ask thirty take each a third of
-  // its share of the processor.
-  const auto patience = Patience();
-  const bool broken = broken_at_ != time_point{} && now - broken_at_ >= patience;
-  return broken || now - quiet_since_ >= settings_.doubt_after + patience;
+  // Small processes ask later than large ones: 30 processes that each ask 30 peers would use a
+  // third of each small process's processor share.
+  const auto small_process_delay = Patience();
+  const bool broken = broken_at_ != time_point{} && now - broken_at_ >= small_process_delay;
+  return broken || now - quiet_since_ >= settings_.doubt_after + small_process_delay;
 }
 
 bool election::ShouldClaim(time_point now) const {
   if (!Doubts(now) || now < claim_again_at_) {
     return false;
   }
-  const auto own = OwnDelay(now);
+  const auto claim_delay = OwnDelay(now);
   if (leaving_ || known_.epoch == 0) {
-    return now - quiet_since_ >= own;
+    return now - quiet_since_ >= claim_delay;
   }
   const bool broken =
-      broken_at_ != time_point{} && now - broken_at_ >= settings_.broken_after + own;
-  return broken || now - quiet_since_ >= settings_.suspect_after + own;
+      broken_at_ != time_point{} && now - broken_at_ >= settings_.broken_after + claim_delay;
+  return broken || now - quiet_since_ >= settings_.suspect_after + claim_delay;
 }
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/election.h
+++ b/src/rosearch/cell/election.h
@@ -9,96 +9,97 @@
 
 namespace rosearch::cell {
 
-/// A leadership as the store's log of claims has it. Its epoch is unique and rises, since it is the
-/// claim's place in that log.
+/// A leadership as recorded in the store's claim log. Its epoch is the claim's offset in that log,
+/// so it is unique and increases.
 struct leadership {
   std::uint64_t epoch{0};  ///< 0: none
-  std::string address;     ///< of the leader, for messages between processes
+  std::string address;     ///< the leader's peer address
   std::string name;
   std::uint64_t incarnation{0};
 
   friend bool operator==(const leadership&, const leadership&) = default;
 };
 
-/// Bounds of an `election`.
+/// Timeouts and delays of an `election`.
 struct election_settings {
-  /// A leader that answered nothing for so long is suspected. Three pings are missed by then; a
-  /// leader at a fifth of its speed still answers in time, and the peers are asked besides.
+  /// Timeout after which a silent leader is suspected of having failed. Three pings are missed by
+  /// then; a leader at a fifth of its speed still answers in time, and peers are asked as well.
   duration suspect_after{std::chrono::milliseconds{600}};
-  /// After this silence the peers are asked, so that their answers are there in time.
+  /// Silence after which the peers are asked, so that their answers arrive before `suspect_after`.
   duration doubt_after{std::chrono::milliseconds{350}};
-  /// A leader whose connection broke is suspected after this: a sound one is heard again within a
-  /// repeated question, and by some peer far sooner.
+  /// Timeout after which a leader is suspected when its connection was lost. A live leader answers
+  /// a repeated ping within this time, and some peer reports it far sooner.
   duration broken_after{std::chrono::milliseconds{150}};
-  /// A process with little processor time lets larger ones claim first.
+  /// Delay of a process with little processor time, so that larger ones claim first.
   duration small_waits{std::chrono::milliseconds{500}};
-  /// A process whose own timers come later than this hears others late, too.
+  /// A process whose timers fire later than this also receives other processes' messages late.
   duration late_after{std::chrono::milliseconds{100}};
-  /// For so long after that it lets others claim first, and by so much: it would take a sound
-  /// leader for dead, and lead worse.
+  /// Period after such a late timer in which this process delays its claim by `late_waits`. It
+  /// might otherwise replace a live leader, and lead more slowly.
   duration late_for{std::chrono::milliseconds{2'000}};
   duration late_waits{std::chrono::milliseconds{1'200}};
-  /// Each process waits up to so long more, so that not all claim at once.
+  /// Maximum random delay, so that processes do not all claim at once.
   duration spread{std::chrono::milliseconds{25}};
-  /// A process that has run for about a quarter of an hour waits so long more, a younger one less:
-  /// where all are restarted in turn, the youngest is the one that isn't about to go again.
+  /// Delay of a process that has run for about 15 minutes; a younger one waits less. In a rolling
+  /// restart, the youngest process is the one least likely to be restarted again.
   duration old_waits{std::chrono::milliseconds{100}};
-  /// A claim that wasn't answered is looked up, and made again after this.
+  /// Delay before an unanswered claim is looked up and retried.
   duration claim_again{std::chrono::milliseconds{400}};
 
   friend bool operator==(const election_settings&, const election_settings&) = default;
 };
 
-/// Decides when this process claims leadership. Whether it gets it, the store decides: a claim is
-/// an append at the end of the log of claims as this process has read it, so of two claims one is
+/// Decides when this process claims leadership. The store decides which claim wins: a claim is a
+/// conditional append at the end of the claim log as last read, so one of two concurrent claims is
 /// refused.
 class election {
  public:
-  /// @param small   whether larger processes should rather lead.
-  /// @param jitter  from 0 to 1, drawn at the start of the process.
-  /// @param began   when the process began.
+  /// @param small   whether larger processes should be preferred as leader.
+  /// @param jitter  from 0 to 1, drawn when the process starts.
+  /// @param began   when the process started.
   election(const election_settings& settings, bool small, double jitter, time_point began)
       : settings_{settings}, small_{small}, jitter_{jitter}, began_{began} {}
 
-  /// The log of claims was read to its end.
+  /// Records that the claim log was read to its end.
   void OnClaimsRead(time_point now) {
     read_ = true;
     if (known_.epoch == 0 && quiet_since_ == time_point{}) {
       quiet_since_ = now;
     }
   }
-  /// A claim was read, or a peer told of one. An older one than that known is ignored.
-  /// @return whether it is news.
+  /// Records a claim that was read from the log or reported by a peer. Ignores a claim that is not
+  /// newer than the known one.
+  /// @return whether the claim is newer.
   bool OnLeadership(const leadership& claimed, time_point now);
-  /// The leader answered.
+  /// Records an answer of the leader.
   void OnHeard(std::uint64_t epoch, time_point now);
-  /// The connection to the leader broke, as it does at once where its process is killed.
+  /// Records that the connection to the leader was lost, as happens when its process is killed.
   void OnConnectionBroken(time_point now);
-  /// Something that was due here came late.
+  /// Records how late a timer of this process fired.
   void OnOwnDelay(duration delay, time_point now) {
     if (delay >= settings_.late_after) {
       late_until_ = now + settings_.late_for;
     }
   }
-  /// The leader said that it is about to stop, or its machine that nobody listens there.
+  /// Records that the leader announced its stop, or that its host refused the connection.
   void OnLeaderLeaving(std::uint64_t epoch);
-  /// @return whether the leader itself said that it stops; the peers need not be asked.
+  /// @return whether the leader is known to be stopping, so that peers need not be asked.
   [[nodiscard]] bool Leaving() const { return leaving_; }
-  /// A claim was sent.
+  /// Records that a claim was sent.
   void OnClaimSent(time_point now) { claim_again_at_ = now + settings_.claim_again; }
-  /// A peer heard the leader, and that connection hasn't broken since.
-  /// @param at  when it heard it last. Were the moment of its word taken instead, a dead leader
-  ///            would be suspected later: all peers have heard it a moment ago.
+  /// Records that a peer received an answer of the leader and has not lost the connection since.
+  /// @param at  when the peer last received one. Using the time of the peer's report instead would
+  ///            delay the detection of a failed leader.
   void OnPeerHeard(time_point at);
 
-  /// @return whether nothing was heard of the leader for long enough to ask the peers.
+  /// @return whether the leader has been silent for long enough to ask the peers.
   [[nodiscard]] bool Doubts(time_point now) const;
   /// @return whether this process should claim leadership now.
   [[nodiscard]] bool ShouldClaim(time_point now) const;
-  /// @return whether the leader's answer is fresh, and it is neither about to stop nor cut off.
+  /// @return whether the leader's last answer is recent and the leader is not stopping.
   [[nodiscard]] bool Hears(time_point now) const;
-  /// @return whether the leader's answer is fresh. One that is about to stop leads on until another
-  /// has claimed, so it is still asked.
+  /// @return whether the leader's last answer is recent and its connection intact. A stopping
+  /// leader counts, since it leads until another process has claimed.
   [[nodiscard]] bool Reaches(time_point now) const;
 
   [[nodiscard]] const leadership& Known() const { return known_; }
@@ -107,8 +108,8 @@
 
  private:
   [[nodiscard]] duration OwnDelay(time_point now) const;
-  /// @return how much longer than a large process this one waits before it doubts or claims: small
-  ///         ones ask less often, and let large ones claim first.
+  /// @return the additional delay of a small process before it asks peers or claims, so that large
+  ///         processes do so first.
   [[nodiscard]] duration Patience() const { return small_ ? settings_.small_waits : duration{}; }
 
   election_settings settings_;
@@ -120,9 +121,9 @@
   bool leaving_{false};
   time_point heard_at_{};
   time_point quiet_since_{};
-  time_point broken_at_{};  ///< unset: the connection to the leader is whole, as far as is known
+  time_point broken_at_{};  ///< unset while the connection to the leader is intact
   time_point claim_again_at_{};
-  time_point late_until_{};  ///< this process is taken for slow until then
+  time_point late_until_{};  ///< this process counts as slow until then
 };
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/internal/leader_callers.h
+++ b/src/rosearch/cell/internal/leader_callers.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_LEADER_CALLERS_H_
 #define ROSEARCH_CELL_INTERNAL_LEADER_CALLERS_H_
 
-// How a leader answers callers. Included by leader.h.
+// Requests of callers to a leader. Included by leader.h.
 
 #include "rosearch/cell/leader.h"
 
@@ -14,21 +14,21 @@
     if (found == callers_.end()) {
       continue;
     }
-    std::vector<waiting_caller> still;
+    std::vector<waiting_caller> remaining;
     for (auto& caller : found->second) {
-      const bool mine = caller.cancels ? settled.cancelled : !settled.cancelled;
-      if (!mine) {
-        still.push_back(std::move(caller));
+      const bool matches = caller.cancels ? settled.cancelled : !settled.cancelled;
+      if (!matches) {
+        remaining.push_back(std::move(caller));
       } else if (settled.accepted || settled.cancelled) {
         caller.answer({200, "{}", 0, false});
       } else {
         RefuseJob(settled.reason, Unavailable(1), caller.answer);
       }
     }
-    if (still.empty()) {
+    if (remaining.empty()) {
       callers_.erase(found);
     } else {
-      found->second = std::move(still);
+      found->second = std::move(remaining);
     }
   }
 }
@@ -48,7 +48,7 @@
       if (now < caller.answer_by) {
         return false;
       }
-      // Whether the job is stored is not known: the caller must not take it for refused.
+      // The job may be stored, so the answer must not be a refusal.
       caller.answer({504, {}, 0, false});
       log_.Write(event_line{"caller_unanswered", event_weight::kFailure}
                      .Add("job", each.first)
@@ -85,8 +85,8 @@
   const auto chain = std::chrono::duration<double, std::micro>{sched::LongestChain(job.steps)};
   job.objective =
       std::chrono::duration_cast<duration>(chain * rules.stretch) + rules.latency_target;
-  // A job whose record may be stored must not be called refused, not even to a caller that asks
-  // again: it waits for the store's word.
+  // A job whose record may be stored must not be answered as refused, not even on a retry: the
+  // caller waits until the outcome of the append is known.
   const bool known = scheduler_.IsPending(id) || scheduler_.Phase(id, queue).has_value();
   if (!known && StoreAway()) {
     log_.Write(event_line{"job_refused", event_weight::kFailure}
@@ -143,8 +143,8 @@
     answer({405, {}, 0, false});
     return;
   }
-  const bool gone = !scheduler_.Phase(id, queue).has_value();
-  if (gone && !KnowsAllJobs()) {
+  const bool unknown = !scheduler_.Phase(id, queue).has_value();
+  if (unknown && !KnowsAllJobs()) {
     answer(Unavailable(1));  // a newer leader may know the job
     return;
   }
--- a/src/rosearch/cell/internal/leader_inputs.h
+++ b/src/rosearch/cell/internal/leader_inputs.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_LEADER_INPUTS_H_
 #define ROSEARCH_CELL_INTERNAL_LEADER_INPUTS_H_
 
-// What the operator and the registry say, as a leader follows it. Included by leader.h.
+// Follows the configuration and the worker registry. Included by leader.h.
 
 #include "rosearch/cell/leader.h"
 
@@ -31,7 +31,7 @@
                 if (page.has_error()) {
                   self.NoteStore(false);
                   self.After(self.configuration_timer_, self.settings_.store_retry,
-                             [](leader& again) { again.FollowConfiguration(); });
+                             [](leader& retrying) { retrying.FollowConfiguration(); });
                   return;
                 }
                 self.NoteStore(true);
@@ -53,11 +53,11 @@
 void leader<Ports>::TakeWorker(const sched::stored_record& record, std::set<std::string>* seen) {
   auto facts = record.value.empty() ? std::nullopt : Ports::DecodeWorker(record.key, record.value);
   const auto& pools = scheduler_.configuration().pools;
-  const bool named =
+  const bool usable =
       facts && std::ranges::find(pools, facts->pool, &sched::pool_rules::name) != pools.end();
-  if (!named) {
-    // Gone, or written by somebody else: what can't be read, or serves no pool of ours, names no
-    // worker to use.
+  if (!usable) {
+    // The worker was removed, its record is unreadable, or its pool is not configured in this
+    // cell: it must not get work.
     Unlist(record.key);
     return;
   }
@@ -95,26 +95,26 @@
 void leader<Ports>::FollowRegistry() {
   After(registry_timer_, settings_.registry_every, [](leader& self) {
     self.ports_.Read(stream::kWorkers, self.registry_next_, duration{},
-                     self.Bind([](leader& reader, result<log_page> page) {
+                     self.Bind([](leader& following, result<log_page> page) {
                        if (page.has_error()) {
-                         reader.NoteStore(false);
-                         reader.FollowRegistry();
+                         following.NoteStore(false);
+                         following.FollowRegistry();
                          return;
                        }
-                       reader.NoteStore(true);
+                       following.NoteStore(true);
                        if (page.value().trimmed) {
-                         reader.ReadWorkers({}, false);
+                         following.ReadWorkers({}, false);
                          return;
                        }
                        for (const auto& bytes : page.value().records) {
                          if (const auto record = SplitKeyed(bytes)) {
-                           reader.TakeWorker(*record, nullptr);
+                           following.TakeWorker(*record, nullptr);
                          }
                        }
-                       reader.registry_next_ = page.value().next;
-                       reader.WatchAll();
-                       reader.PumpSoon();
-                       reader.FollowRegistry();
+                       following.registry_next_ = page.value().next;
+                       following.WatchAll();
+                       following.PumpSoon();
+                       following.FollowRegistry();
                      }));
   });
 }
--- a/src/rosearch/cell/internal/leader_orders.h
+++ b/src/rosearch/cell/internal/leader_orders.h
@@ -1,8 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_LEADER_ORDERS_H_
 #define ROSEARCH_CELL_INTERNAL_LEADER_ORDERS_H_
 
-// How a leader carries out what its scheduler decides, and watches the workers. Included by
-// leader.h.
+// Executes the scheduler's orders and watches the workers. Included by leader.h.
 
 #include "rosearch/cell/leader.h"
 
@@ -121,14 +120,14 @@
 template <typename Ports>
 void leader<Ports>::Dispatch(sched::stop_order&& decided) {
   if (!MayAct()) {
-    return;  // the scheduler orders it again until it is heard
+    return;  // the scheduler repeats the order until it is acknowledged
   }
-  ports_.Stop(decided, epoch_, Bind([decided](leader& self, bool heard, bool stale_fence) {
+  ports_.Stop(decided, epoch_, Bind([decided](leader& self, bool acknowledged, bool stale_fence) {
                 if (stale_fence) {
                   self.End("newer_leader_met");
                   return;
                 }
-                self.scheduler_.OnStopAnswer(decided, heard, Now());
+                self.scheduler_.OnStopAnswer(decided, acknowledged, Now());
               }));
 }
 
@@ -136,9 +135,9 @@
 void leader<Ports>::AskForAdvice() {
   while (auto next = advice_.Next(SteadyNow())) {
     const auto asked_at = SteadyNow();
-    const auto& asked_now = *next;
-    ports_.Advise(asked_now.helper, asked_now.query,
-                  Bind([asked = asked_now, asked_at](
+    const auto& request = *next;
+    ports_.Advise(request.helper, request.query,
+                  Bind([asked = request, asked_at](
                            leader& self, const std::vector<sched::advised_worker>* allowed) {
                     self.advice_.Done(asked.helper);
                     self.metrics_.Observe("rosearch_advice_seconds", SteadyNow() - asked_at);
@@ -161,44 +160,45 @@
   WatchSome({});
 }
 
-// The load that this answers: a new leader of thousands of workers reads all of them. Done in one
-// go, callers and peers waited for a second. So some are read at a time; the next follow when most
-// of those have answered, and after a rest as long as this call is late: at least half of a late
-// process's time is left for others.
+// Watches workers in slices: a new leader that contacted thousands of workers at once delayed
+// callers and peers by a second. The next slice follows when at least half of the current one has
+// answered or timed out. If this call runs late, it first pauses for as long as it is late (up to
+// `kMaxPause`), which leaves at least half of an overloaded process's time to other work.
 template <typename Ports>
 void leader<Ports>::WatchSome(duration late) {
-  constexpr std::size_t kAtOnce = 50;
-  constexpr duration kSlicePatience = std::chrono::milliseconds{100};  // some workers are dead
-  constexpr duration kLookAgain = std::chrono::milliseconds{2};
-  constexpr duration kPrompt = std::chrono::milliseconds{5};
-  constexpr duration kLongestRest = std::chrono::milliseconds{250};
+  constexpr std::size_t kSliceSize = 50;
+  constexpr duration kSliceTimeout =
+      std::chrono::milliseconds{100};  // some workers may have failed
+  constexpr duration kRetryInterval = std::chrono::milliseconds{2};
+  constexpr duration kMaxLateness = std::chrono::milliseconds{5};
+  constexpr duration kMaxPause = std::chrono::milliseconds{250};
   if (unwatched_.empty()) {
     return;
   }
   const auto now = SteadyNow();
-  const auto again = [this, now](duration pause) {
+  const auto watch_later = [this, now](duration pause) {
     After(watch_timer_, pause,
           [due = now + pause](leader& self) { self.WatchSome(SteadyNow() - due); });
   };
-  if (late > kPrompt && !std::exchange(rested_, true)) {
-    again(std::min(late, kLongestRest));
+  if (late > kMaxLateness && !std::exchange(rested_, true)) {
+    watch_later(std::min(late, kMaxPause));
     return;
   }
   const auto pause = hooks_.watch_pause();
-  if (slice_.size() > kAtOnce / 2 && now - slice_at_ < kSlicePatience) {
-    again(std::max(pause, kLookAgain));
+  if (slice_.size() > kSliceSize / 2 && now - slice_at_ < kSliceTimeout) {
+    watch_later(std::max(pause, kRetryInterval));
     return;
   }
   rested_ = false;
   slice_.clear();
   slice_at_ = now;
-  for (std::size_t count = 0; count < kAtOnce && !unwatched_.empty(); ++count) {
+  for (std::size_t count = 0; count < kSliceSize && !unwatched_.empty(); ++count) {
     const auto worker = std::move(unwatched_.front());
     unwatched_.pop_front();
     slice_.insert(worker);
     Watch(worker);
   }
-  again(pause);
+  watch_later(pause);
 }
 
 template <typename Ports>
@@ -208,16 +208,16 @@
     return;
   }
   found->second->expires_after(pause);
-  // A wait that is cut short is as good as one that ended: there is something to say.
+  // A cancelled wait also triggers the watch: there are new acknowledgements to send.
   found->second->async_wait(
       Bind([worker](leader& self, const boost::system::error_code&) { self.Watch(worker); }));
 }
 
 template <typename Ports>
 void leader<Ports>::Watch(const std::string& worker) {
-  constexpr duration kLookAgain = std::chrono::milliseconds{100};
+  constexpr duration kRetryInterval = std::chrono::milliseconds{100};
   if (!MayAct()) {
-    WatchAfter(worker, kLookAgain);
+    WatchAfter(worker, kRetryInterval);
     return;
   }
   const auto watch = scheduler_.NextWatch(worker, Now());
--- a/src/rosearch/cell/internal/leader_store.h
+++ b/src/rosearch/cell/internal/leader_store.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_LEADER_STORE_H_
 #define ROSEARCH_CELL_INTERNAL_LEADER_STORE_H_
 
-// How a leader stores what its scheduler decides. Included by leader.h.
+// Stores the scheduler's decisions. Included by leader.h.
 
 #include "rosearch/cell/leader.h"
 
@@ -24,12 +24,12 @@
 
 template <typename Ports>
 bool leader<Ports>::StoreAway() const {
-  // An append that failed is the sharpest sign; one that takes long, the other.
-  constexpr int kUnusual = 3;
-  const auto patience = std::clamp(kUnusual * usual_append_, settings_.store_patience,
-                                   settings_.longest_store_patience);
+  // The store counts as unavailable after a failed append or one that exceeds the timeout.
+  constexpr int kSlowAppendFactor = 3;
+  const auto timeout = std::clamp(kSlowAppendFactor * usual_append_, settings_.store_patience,
+                                  settings_.longest_store_patience);
   return !batches_.empty() &&
-         (batches_.front().failures > 0 || SteadyNow() - batches_.front().sent_at > patience);
+         (batches_.front().failures > 0 || SteadyNow() - batches_.front().sent_at > timeout);
 }
 
 template <typename Ports>
@@ -40,17 +40,17 @@
   }
   if (!batches_.empty()) {
     const auto& newest = batches_.back();
-    // The store lets an epoch begin with any sequence: a batch that overtook the first one would
-    // shut it out for good.
-    const bool beside = first_stored_ && scheduler_.HasUrgentRecords() &&
-                        batches_.size() < settings_.batches && batches_.front().failures == 0;
-    if (!beside) {
-      return;  // looked at again when an answer comes
+    // The store accepts any sequence number as the first of an epoch: a batch that arrived before
+    // the first one would cause that one to be refused permanently.
+    const bool may_overlap = first_stored_ && scheduler_.HasUrgentRecords() &&
+                             batches_.size() < settings_.batches && batches_.front().failures == 0;
+    if (!may_overlap) {
+      return;  // checked again when an answer arrives
     }
-    const auto apart = std::max<duration>(settings_.batch_answer,
-                                          usual_append_ / static_cast<int>(settings_.batches));
-    if (now - newest.sent_at < apart) {
-      After(writer_timer_, apart - (now - newest.sent_at), [](leader& self) { self.Store(); });
+    const auto spacing = std::max<duration>(settings_.batch_answer,
+                                            usual_append_ / static_cast<int>(settings_.batches));
+    if (now - newest.sent_at < spacing) {
+      After(writer_timer_, spacing - (now - newest.sent_at), [](leader& self) { self.Store(); });
       return;
     }
   }
@@ -69,11 +69,11 @@
     PumpSoon();
     return;
   }
-  batch_under_way made{taken.number, sequence_++, {}, now};
+  batch_under_way batch{taken.number, sequence_++, {}, now};
   for (const auto& record : taken.records) {
-    made.records.push_back(JoinKeyed(record));
+    batch.records.push_back(JoinKeyed(record));
   }
-  batches_.push_back(std::move(made));
+  batches_.push_back(std::move(batch));
   SendBatch(batches_.back());
 }
 
@@ -93,7 +93,7 @@
 template <typename Ports>
 void leader<Ports>::SendAgain() {
   sent_again_at_ = SteadyNow();
-  // In order: the store takes a batch only behind the one before it.
+  // In sequence: the store accepts a batch only after its predecessor.
   for (const auto& batch : batches_) {
     if (!batch.stored) {
       SendBatch(batch);
@@ -141,17 +141,17 @@
   if (batch == batches_.end() || batch->stored) {
     return;
   }
-  const bool ahead =
+  const bool already_stored =
       answer.outcome == append_outcome::kOutOfSequence && answer.next_sequence > batch->sequence;
-  if (ahead) {
+  if (already_stored) {
     log_.Write(event_line{"append_found_stored", event_weight::kBelief}
                    .Add("epoch", epoch_)
                    .Add("batch", number)
                    .Add("sequence", batch->sequence)
                    .Add("expected", answer.next_sequence));
   }
-  if (answer.outcome == append_outcome::kStored || ahead) {
-    // Whatever is stored has all before it stored too.
+  if (answer.outcome == append_outcome::kStored || already_stored) {
+    // When a batch is stored, all earlier batches are stored too.
     for (auto each = batches_.begin(); each != std::next(batch); ++each) {
       each->stored = true;
     }
@@ -170,7 +170,7 @@
   metrics_.Count("rosearch_appends_failed_total");
   if (answer.outcome == append_outcome::kNotStored && !batch->may_be_stored &&
       batches_.size() == 1) {
-    // Certainly not stored: callers learn at once that their jobs were not accepted.
+    // Definitely not stored: callers are told at once that their jobs were not accepted.
     batches_.clear();
     --sequence_;
     scheduler_.OnNotStored(number);
@@ -178,8 +178,8 @@
     After(writer_timer_, settings_.store_retry, [](leader& self) { self.Store(); });
     return;
   }
-  // It may be stored yet, or one behind it may be. The same bytes with the same sequence are stored
-  // once at most, so all are sent until the store says what became of them.
+  // This batch or a later one may be stored. An append is idempotent for the same bytes and
+  // sequence number, so all batches are retried until the store reports their outcome.
   batch->may_be_stored = batch->may_be_stored || answer.outcome == append_outcome::kUnknown;
   ++batches_.front().failures;
   scheduler_.RefuseUnsent();
--- a/src/rosearch/cell/internal/leader_takeover.h
+++ b/src/rosearch/cell/internal/leader_takeover.h
@@ -1,8 +1,8 @@
 #ifndef ROSEARCH_CELL_INTERNAL_LEADER_TAKEOVER_H_
 #define ROSEARCH_CELL_INTERNAL_LEADER_TAKEOVER_H_
 
-// Beginning and end of a leadership: fencing, reading what earlier ones left, serving, ending.
-// Included by leader.h.
+// Start and end of a leadership: fences the former leader, restores the stored state, starts
+// serving, ends. Included by leader.h.
 
 #include "rosearch/cell/leader.h"
 
@@ -10,8 +10,8 @@
 
 template <typename Ports>
 void leader<Ports>::Fence() {
-  // An append without records sets the epoch: from its answer on the store refuses whatever the
-  // former leader still sends, so what is read next is all there will ever be.
+  // An append without records sets the epoch. Once it is answered, the store refuses appends of
+  // the former leader, so the state that is read next is complete.
   ports_.Append(stream::kState, {}, writer_proof{"scheduler", epoch_, 0}, std::nullopt,
                 Bind([](leader& self, const append_answer& answer) {
                   if (answer.outcome == append_outcome::kFenced) {
@@ -20,7 +20,7 @@
                     self.ReadState({});
                   } else {
                     self.After(self.writer_timer_, self.settings_.store_retry,
-                               [](leader& again) { again.Fence(); });
+                               [](leader& retrying) { retrying.Fence(); });
                   }
                 }));
 }
@@ -30,7 +30,7 @@
   ports_.Newest(stream::kState, after, Bind([after](leader& self, result<newest_page> page) {
                   if (page.has_error()) {
                     self.After(self.writer_timer_, self.settings_.store_retry,
-                               [after](leader& again) { again.ReadState(after); });
+                               [after](leader& retrying) { retrying.ReadState(after); });
                     return;
                   }
                   for (const auto& record : page.value().records) {
@@ -54,7 +54,7 @@
                 Bind([after](leader& self, result<newest_page> page) {
                   if (page.has_error()) {
                     self.After(self.configuration_timer_, self.settings_.store_retry,
-                               [after](leader& again) { again.ReadConfiguration(after); });
+                               [after](leader& retrying) { retrying.ReadConfiguration(after); });
                     return;
                   }
                   for (const auto& record : page.value().records) {
@@ -73,40 +73,40 @@
 
 template <typename Ports>
 void leader<Ports>::ReadWorkers(const std::string& after, bool first) {
-  // `seen_` collects over all pages what the registry lists; the rest is gone.
-  ports_.Newest(stream::kWorkers, after,
-                Bind([after, first](leader& self, result<newest_page> page) {
-                  if (page.has_error()) {
-                    self.NoteStore(false);
-                    self.After(self.registry_timer_, self.settings_.store_retry,
-                               [after, first](leader& again) { again.ReadWorkers(after, first); });
-                    return;
-                  }
-                  self.NoteStore(true);
-                  std::set<std::string> seen;
-                  for (const auto& record : page.value().records) {
-                    self.TakeWorker(record, &seen);
-                  }
-                  if (after.empty()) {
-                    self.registry_next_ = page.value().end;
-                  }
-                  const bool whole = after.empty() && page.value().continue_after.empty();
-                  if (whole) {
-                    for (const auto& id : self.scheduler_.WatchedWorkers()) {
-                      if (!seen.contains(id)) {
-                        self.Unlist(id);
-                      }
-                    }
-                  }
-                  if (!page.value().continue_after.empty()) {
-                    self.ReadWorkers(page.value().continue_after, first);
-                  } else if (first) {
-                    self.workers_read_ = true;
-                    self.ServeOnceRead();
-                  } else {
-                    self.FollowRegistry();
-                  }
-                }));
+  // Workers missing from the registry are removed only if it fits into one page.
+  ports_.Newest(
+      stream::kWorkers, after, Bind([after, first](leader& self, result<newest_page> page) {
+        if (page.has_error()) {
+          self.NoteStore(false);
+          self.After(self.registry_timer_, self.settings_.store_retry,
+                     [after, first](leader& retrying) { retrying.ReadWorkers(after, first); });
+          return;
+        }
+        self.NoteStore(true);
+        std::set<std::string> seen;
+        for (const auto& record : page.value().records) {
+          self.TakeWorker(record, &seen);
+        }
+        if (after.empty()) {
+          self.registry_next_ = page.value().end;
+        }
+        const bool single_page = after.empty() && page.value().continue_after.empty();
+        if (single_page) {
+          for (const auto& id : self.scheduler_.WatchedWorkers()) {
+            if (!seen.contains(id)) {
+              self.Unlist(id);
+            }
+          }
+        }
+        if (!page.value().continue_after.empty()) {
+          self.ReadWorkers(page.value().continue_after, first);
+        } else if (first) {
+          self.workers_read_ = true;
+          self.ServeOnceRead();
+        } else {
+          self.FollowRegistry();
+        }
+      }));
 }
 
 template <typename Ports>
@@ -156,9 +156,9 @@
   boost::asio::post(io_, [self = this->shared_from_this()] { self->hooks_.on_end(); });
 }
 
-/// An append without records changes nothing and is refused to a leader that was replaced.
-/// @param on_answer  called, where it wasn't refused, with the leader, the moment of asking and
-///                   whether the store took it.
+/// Appends no records, which changes nothing but is refused when a newer leader has taken over.
+/// @param on_answer  called unless the append was fenced, with the leader, the time of sending and
+///                   whether the store accepted the append.
 template <typename Ports>
 template <typename Callback>
 void leader<Ports>::TouchStore(Callback on_answer) {
--- a/src/rosearch/cell/internal/leader_views.h
+++ b/src/rosearch/cell/internal/leader_views.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_LEADER_VIEWS_H_
 #define ROSEARCH_CELL_INTERNAL_LEADER_VIEWS_H_
 
-// What a leader counts for people. Included by leader.h.
+// Metrics of a leader. Included by leader.h.
 
 #include "rosearch/cell/leader.h"
 
--- a/src/rosearch/cell/leader.h
+++ b/src/rosearch/cell/leader.h
@@ -30,75 +30,78 @@
 
 namespace rosearch::cell {
 
-/// Bounds of a `leader`.
+/// Intervals, timeouts and limits of a `leader`.
 struct leader_settings {
   sched::scheduler_settings scheduler{};
-  /// Between two passes over all that waits. With hundreds of starts a second each carries several
-  /// ends; one pass for each of them would take most of the process's time.
+  /// Minimum interval between two scheduling passes. At hundreds of starts per second each pass
+  /// handles several ended runs; one pass per ended run would use most of the process's time.
   duration pass{std::chrono::milliseconds{4}};
-  /// Between two looks at what time alone changes.
+  /// Interval between checks of timers, such as leases and timeouts.
   duration tick{std::chrono::milliseconds{50}};
-  /// What is due comes so late where the process has more to do than it has time for.
+  /// The process counts as overloaded when a tick fires later than this.
   duration late_after{std::chrono::milliseconds{100}};
-  /// Records that nobody waits for are collected for so long, so that one append carries many.
+  /// Records that no caller waits for are held back this long, so that one append carries many.
   duration collect{std::chrono::milliseconds{15}};
-  /// Batches under way at once. Where an answer of the store takes a quarter of a second, a job
-  /// would wait for the batch before its own as well, both when it is accepted and when it is done.
+  /// Maximum number of batches in flight. With only one, a job would also wait for the preceding
+  /// batch, both on acceptance and on completion, which matters when an append takes 250 ms.
   std::size_t batches{4};
-  /// A second batch goes out beside one that is older than this, and than a quarter of what an
-  /// append usually takes: a quick store has answered by then, and a slow one, which takes them one
-  /// at a time, isn't sent more than it gets through.
+  /// Minimum interval between sending two batches; the interval is at least the usual append time
+  /// divided by `batches`. A fast store has answered by then, and a slow one, which handles batches
+  /// one at a time, isn't sent more than it can handle.
   duration batch_answer{std::chrono::milliseconds{12}};
-  /// An append that wasn't answered, or was refused, is sent again after this.
+  /// Delay before an unanswered or refused append is retried.
   duration store_retry{std::chrono::milliseconds{100}};
-  /// While the store is away, it is asked so often whether it is back. Calls that hang on it end
-  /// only after seconds: left to them, its return would be noticed late.
+  /// Interval between probes of an unavailable store. Pending calls time out only after seconds, so
+  /// without probes its recovery would be noticed late.
   duration probe_every{std::chrono::milliseconds{150}};
-  /// Between two reads of the workers' registry. A worker that leaves must get no new work within
-  /// 2 s of saying so; this leaves three tries.
+  /// Interval between two reads of the worker registry. A worker that announces its departure must
+  /// get no new work after 2 s; this allows three attempts.
   duration registry_every{std::chrono::milliseconds{450}};
-  /// How long a read of the configuration waits for news; two of them fit into the time by which a
+  /// Long-poll timeout of a configuration read. Two reads fit into the time by which a published
   /// version must be in force.
   duration configuration_wait{std::chrono::milliseconds{900}};
-  /// After the store was away, entries of the registry that are missing may come back for so long.
+  /// After a store outage, a worker missing from the registry is removed only after this period,
+  /// because its entry may reappear.
   duration registry_grace{std::chrono::milliseconds{2'600}};
-  /// Without proof that nobody else leads, nothing is ordered after this. Below
-  /// `scheduler_settings::old_leader_silence` by what an order may take to arrive.
+  /// No orders are sent when leadership has not been confirmed for this long. It is shorter than
+  /// `scheduler_settings::old_leader_silence` by the time that an order may take to arrive.
   duration proof_life{std::chrono::milliseconds{1'500}};
-  /// So long after a read of the log of claims was sent, jobs that aren't known are called unknown.
-  /// A read waits for up to 1 s; a job must be known at every process 3 s after it was accepted.
+  /// Maximum age of the last read of the claim log at which a job that is missing here is answered
+  /// as unknown. A read waits for up to 1 s; every process must know a job 3 s after its
+  /// acceptance.
   duration claims_known_for{std::chrono::milliseconds{2'500}};
-  /// A gap in our own time longer than this means that the process stood still.
+  /// A gap between ticks longer than this means that the process was paused.
   duration standstill{std::chrono::milliseconds{400}};
-  /// While the store hasn't answered for so long, and for three times what an append usually takes,
-  /// new jobs are refused at once.
+  /// New jobs are refused at once when an append has been unanswered for this long and for three
+  /// times the usual append time.
   duration store_patience{std::chrono::milliseconds{600}};
-  /// Whatever an append usually takes: a caller that is told so then can still come back in time.
+  /// Upper limit of the timeout derived from the usual append time. A caller that is refused by
+  /// then can still retry in time.
   duration longest_store_patience{std::chrono::milliseconds{1'500}};
-  /// A caller that waits for the store gets an answer by then, whatever it is.
+  /// Timeout after which a caller that still waits for the store is answered with status 504.
   duration caller_patience{std::chrono::milliseconds{2'500}};
 
   friend bool operator==(const leader_settings&, const leader_settings&) = default;
 };
 
-/// What a `leader` tells its process. All of them are called on the thread of the io_context.
+/// Callbacks of a `leader` into its process, all called on the thread of the io_context.
 struct leader_hooks {
-  /// Asked before some workers are watched for the first time, when all are known.
-  /// @return how long to wait before the next are.
+  /// Called before each slice of workers is watched for the first time.
+  /// @return the pause before the next slice.
   std::function<duration()> watch_pause;
-  std::function<void()> on_end;  ///< once, when this process no longer leads
+  std::function<void()> on_end;  ///< called once when the leadership ends
 };
 
-/// One leadership of the cell, from the claim that won to its end: reads what earlier ones left,
-/// then carries decisions of a `sched::scheduler` out and brings it the answers.
-/// @tparam Ports  what is outside; see `cell_ports`.
+/// One leadership of the cell, from the winning claim to its end. Restores the stored state of
+/// earlier leaders, then executes the decisions of a `sched::scheduler` and feeds it the answers.
+/// @tparam Ports  the interface to external systems; see `cell_ports`.
 template <typename Ports>
 class leader : public std::enable_shared_from_this<leader<Ports>> {
  public:
   using respond = std::function<void(caller_answer)>;
 
-  /// @param epoch   of the claim that won.
-  /// @param hooks   none of them empty.
+  /// @param epoch   epoch of the winning claim.
+  /// @param hooks   callbacks, none of them empty.
   leader(boost::asio::io_context& io, Ports& ports, leader_settings settings, std::uint64_t epoch,
          event_sink& log, metric_set& metrics, leader_hooks hooks)
       : io_{io},
@@ -116,43 +119,43 @@
         configuration_timer_{io},
         watch_timer_{io} {}
 
-  /// Fences the former leader and takes its state over.
+  /// Fences the former leader and takes over its state.
   void Begin() {
     began_at_ = SteadyNow();
     log_.Write(event_line{"leader_begins", event_weight::kBelief}.Add("epoch", epoch_));
     last_tick_ = Boottime();
     OnNoNewerClaim(SteadyNow());
-    // Beside one another: with a slow store, callers would wait for several of its answers.
+    // Run concurrently: in sequence, callers would wait for several answers of a slow store.
     Fence();
     ReadConfiguration({});
   }
 
-  /// @return whether jobs are taken and answered.
+  /// @return whether callers are served.
   [[nodiscard]] bool Serving() const { return serving_ && !over_; }
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
-  /// @return workers that are known.
+  /// @return the number of known workers.
   [[nodiscard]] std::size_t Workers() const { return workers_; }
   [[nodiscard]] const sched::cell_configuration& configuration() const {
     return scheduler_.configuration();
   }
 
-  /// Somebody who would know of a newer leader knows of none.
-  /// @param asked_at  when that was asked.
+  /// Records that a process or the store, which would know of a newer leader, knows of none.
+  /// @param asked_at  when the request was sent.
   void OnProof(time_point asked_at) {
     if (asked_at >= stood_still_at_) {
       proof_at_ = std::max(proof_at_, SteadyNow());
     }
   }
 
-  /// The log of claims was read to its end and shows no newer claim.
-  /// @param asked_at  when that read was sent.
+  /// Records that the claim log was read to its end and holds no newer claim.
+  /// @param asked_at  when the read was sent.
   void OnNoNewerClaim(time_point asked_at) {
     no_newer_claim_at_ = std::max(no_newer_claim_at_, asked_at);
     OnProof(asked_at);
   }
 
-  /// A peer's sign of life that names this leadership. What was received while the process stood
-  /// still proves nothing.
+  /// Records a peer's heartbeat that names this leadership. Heartbeats received while the process
+  /// was paused are ignored, because they may be stale.
   void OnPeerSign() {
     constexpr duration kBacklog = std::chrono::milliseconds{250};
     if (SteadyNow() - stood_still_at_ > kBacklog) {
@@ -160,29 +163,29 @@
     }
   }
 
-  /// Names this process, as an empty text, and the peers that can ask for advice.
+  /// Sets the processes that can query the advice service; an empty string names this process.
   void SetHelpers(const std::vector<std::string>& helpers) {
     advice_.SetHelpers(helpers);
     PumpSoon();
   }
 
-  /// Answers one caller's request.
+  /// Handles one caller's request.
   void Handle(const caller_request& request, duration time_left, respond answer);
 
-  /// Stores what is decided and then ends.
+  /// Stores pending decisions, then ends the leadership.
   void Resign() {
     resigning_ = true;
     PumpSoon();
   }
 
-  /// Ends at once.
+  /// Ends the leadership at once.
   void End(std::string_view cause);
 
   [[nodiscard]] std::string Dump() const { return scheduler_.Dump(Now()); }
   [[nodiscard]] std::string Explain(std::string_view job) const {
     return scheduler_.Explain(job, Now());
   }
-  /// Puts what the scheduler counts into the metrics.
+  /// Copies the scheduler's counts into the metrics.
   void FillMetrics();
 
  private:
@@ -199,17 +202,16 @@
     std::vector<std::string> records;
     time_point sent_at{};
     bool stored{false};
-    bool came_early{
-        false};  ///< overtook the one before it on the way: the store waits for that one
-    bool may_be_stored{false};  ///< one sending of it was never answered
-    std::uint32_t failures{0};  ///< sendings that brought no good answer
+    bool came_early{false};     ///< arrived before its predecessor: the store refused it
+    bool may_be_stored{false};  ///< an attempt remained unanswered
+    std::uint32_t failures{0};  ///< failed attempts
   };
 
   [[nodiscard]] static sched::instant Now() {
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
     return {SteadyNow(), std::chrono::duration_cast<std::chrono::milliseconds>(wall).count()};
   }
-  /// Goes on while the machine is suspended, unlike the steady clock.
+  /// Unlike the steady clock, includes the time while the machine is suspended.
   [[nodiscard]] static duration Boottime() {
     timespec read{};
     clock_gettime(CLOCK_BOOTTIME, &read);
@@ -217,14 +219,14 @@
            std::chrono::duration_cast<duration>(std::chrono::nanoseconds{read.tv_nsec});
   }
 
-  /// @return whether no newer leader can have taken over unnoticed. Without this a process that
-  /// stood still would go on ordering from a picture that is seconds old.
+  /// @return whether leadership was confirmed recently enough that no newer leader can have taken
+  /// over. Without this check a process that was paused would send orders from stale state.
   [[nodiscard]] bool MayAct() {
     NoticeStandstill();
     return !over_ && SteadyNow() - proof_at_ < settings_.proof_life;
   }
-  /// @return whether a job that isn't known here is known nowhere. Peers' signs don't count: a peer
-  /// may follow a leader that another has replaced, and that one has accepted jobs since.
+  /// @return whether a job that is unknown here is unknown to every process. Peers' heartbeats
+  /// don't count: a peer may still follow this leader after a newer one has accepted jobs.
   [[nodiscard]] bool KnowsAllJobs() {
     return MayAct() && SteadyNow() - no_newer_claim_at_ < settings_.claims_known_for;
   }
@@ -256,7 +258,7 @@
   void UnlistOverdue();
 
   void TickLater();
-  /// Takes in how late a tick came: so long does everything wait that reaches this process.
+  /// Records how late a tick fired, which is how long any event waits in this process.
   void NoteDelay(duration delay);
   void PumpSoon();
   void Pump();
@@ -269,7 +271,7 @@
   void AskForAdvice();
   void Watch(const std::string& worker);
   void WatchAll();
-  /// @param late  how late this call comes: so long does everything wait for the process.
+  /// @param late  how late this call runs, which is how long any event waits in this process.
   void WatchSome(duration late);
   void WatchAfter(const std::string& worker, duration pause);
 
@@ -328,13 +330,13 @@
   boost::asio::steady_timer watch_timer_;
   std::map<std::string, std::unique_ptr<boost::asio::steady_timer>> watches_;  ///< by worker
   std::unordered_map<std::string, std::vector<waiting_caller>> callers_;       ///< by job
-  std::map<std::string, time_point> unlisting_;  ///< workers that may yet come back, until when
+  std::map<std::string, time_point> unlisting_;  ///< workers to remove, by deadline
   std::deque<batch_under_way> batches_;          ///< oldest first
-  std::deque<std::string> unwatched_;            ///< workers that are about to be watched
-  std::set<std::string> slice_;  ///< of the workers watched last for the first time: unanswered
-  time_point slice_at_{};        ///< when they were watched
-  bool rested_{false};           ///< others were given time since then
-  std::size_t workers_{0};       ///< that are known
+  std::deque<std::string> unwatched_;            ///< workers still to be watched
+  std::set<std::string> slice_;  ///< workers of the last slice that have not answered
+  time_point slice_at_{};        ///< when that slice was watched
+  bool rested_{false};           ///< a pause was made since then
+  std::size_t workers_{0};       ///< known workers
   std::uint64_t sequence_{0};
   std::uint64_t configuration_next_{0};
   std::uint64_t registry_next_{0};
@@ -343,16 +345,16 @@
   time_point no_newer_claim_at_{};
   time_point passed_at_{};
   time_point stood_still_at_{};
-  duration usual_append_{};  ///< what a batch takes to be stored, smoothed
+  duration usual_append_{};  ///< time that a batch takes to be stored, smoothed
   time_point collect_since_{};
   time_point sent_again_at_{};
   time_point probed_at_{};
   time_point store_failed_at_{};
   time_point store_away_since_{};
   duration last_tick_{};
-  bool late_{false};  ///< the process was late by more than `leader_settings::late_after`
+  bool late_{false};  ///< the last tick exceeded `leader_settings::late_after`
   bool store_reached_{true};
-  bool first_stored_{false};  ///< a batch of this leadership is stored
+  bool first_stored_{false};  ///< a batch of this leadership was stored
   bool state_read_{false};
   bool workers_read_{false};
   bool serving_{false};
