--- a/src/rosearch/sched/advice_book.h
+++ b/src/rosearch/sched/advice_book.h
@@ -13,18 +13,19 @@
 
 struct worker_state;
 
-/// What is known of the workers that may run one step. Which workers may doesn't change while the
-/// step lives; only the tickets that prove it expire.
+/// The advice received for one step: which workers may run it, which must not, and the state of the
+/// query under way. Whether a worker may run the step doesn't change during the step's lifetime;
+/// only the tickets that prove it expire.
 class advice_book {
  public:
-  /// A worker that may run the step, and the proof that it wants to see.
+  /// A worker that may run the step, and the ticket that a start order must carry as proof.
   struct allowance {
     worker_state* worker{nullptr};
     std::string ticket;
     time_point expires{};
   };
 
-  /// Takes in that a worker may run the step.
+  /// Records that a worker may run the step, or replaces its ticket.
   void Allow(worker_state* worker, std::string ticket, time_point expires) {
     if (auto* const known = Find(worker)) {
       known->ticket = std::move(ticket);
@@ -33,10 +34,10 @@
       allowed_.push_back({worker, std::move(ticket), expires});
     }
   }
-  /// Takes in that a worker must not run the step.
+  /// Records that a worker must not run the step.
   void Refuse(const std::string& worker) { refused_.insert(worker); }
 
-  /// @return what allows a worker; null where nothing does. Its ticket may have expired.
+  /// @return the allowance of a worker, whose ticket may have expired; null if it has none.
   [[nodiscard]] allowance* Find(const worker_state* worker) {
     const auto found = std::ranges::find(allowed_, worker, &allowance::worker);
     return found == allowed_.end() ? nullptr : &*found;
@@ -48,35 +49,35 @@
   [[nodiscard]] const std::vector<allowance>& Allowed() const { return allowed_; }
   [[nodiscard]] bool Refused(const std::string& worker) const { return refused_.contains(worker); }
 
-  /// Forgets a worker that is gone.
+  /// Removes the allowance of a worker; call before the worker is destroyed.
   void Drop(const worker_state* worker) {
     std::erase_if(allowed_, [&](const auto& each) { return each.worker == worker; });
   }
 
-  /// Takes in that a question was asked.
-  /// @param by  when its answer must be there; after that it is taken for lost.
+  /// Records that a query was sent.
+  /// @param by  deadline of the answer; after it the query counts as lost.
   void Ask(time_point now, time_point by) {
     asked_at_ = now;
     answer_by_ = by;
   }
-  /// Takes in that a question was answered, or never will be.
+  /// Records that the query was answered or has been given up.
   void Answered() { answer_by_ = time_point{}; }
-  /// @return whether the answer to a question may still come.
+  /// @return whether a query is under way and its deadline has not passed.
   [[nodiscard]] bool Asking(time_point now) const { return now < answer_by_; }
-  /// @return whether a question is past the moment by which its answer had to be there.
+  /// @return whether the deadline of an unanswered query has passed.
   [[nodiscard]] bool Overdue(time_point now) const {
     return answer_by_ != time_point{} && now >= answer_by_;
   }
-  /// @return when a question under way is taken for lost; zero where none is.
+  /// @return the deadline of the unanswered query; zero if there is none.
   [[nodiscard]] time_point answer_by() const { return answer_by_; }
-  /// @return when the newest question was asked.
+  /// @return when the newest query was sent.
   [[nodiscard]] time_point asked_at() const { return asked_at_; }
 
-  time_point ask_again_at{};  ///< no further question before
+  time_point ask_again_at{};  ///< earliest time of the next query
 
  private:
   time_point asked_at_{};
-  time_point answer_by_{};  ///< zero: nothing is asked
+  time_point answer_by_{};  ///< zero: no unanswered query
   std::vector<allowance> allowed_;
   std::unordered_set<std::string> refused_;
 };
--- a/src/rosearch/sched/cell_configuration.h
+++ b/src/rosearch/sched/cell_configuration.h
@@ -11,38 +11,38 @@
 
 namespace rosearch::sched {
 
-/// What asking for advice costs: the answer takes `base` and `per_worker` for each worker named.
+/// Cost of an advice query: the answer takes `base`, plus `per_worker` for each worker named.
 struct advice_cost {
   duration base{};
   duration per_worker{};
-  duration ticket_life{};  ///< how long the tickets of an answer are good
+  duration ticket_life{};  ///< how long the tickets of an answer are valid
 
   friend bool operator==(const advice_cost&, const advice_cost&) = default;
 };
 
-/// The operator's rules for one queue of jobs.
+/// The operator's rules for one job queue.
 struct queue_rules {
-  std::string name;           ///< for people; may change while the queue stays the same
+  std::string name;           ///< display name; may change, since `Key` identifies the queue
   std::string host;           ///< callers' Host header, in lower case
-  std::string path_prefix;    ///< callers' paths begin so; the longest match wins
-  std::string pool;           ///< its tasks run on workers of this pool
-  std::uint32_t priority{0};  ///< 0 comes first
+  std::string path_prefix;    ///< prefix of callers' paths; the longest match wins
+  std::string pool;           ///< pool whose workers run its tasks
+  std::uint32_t priority{0};  ///< 0 is the highest
   std::uint32_t max_attempts{1};
-  double stretch{1};                    ///< objective: the job's longest chain times this,
-  duration latency_target{};            ///< and this on top
+  double stretch{1};                    ///< objective: estimate of the critical path times this,
+  duration latency_target{};            ///< plus this
   std::optional<advice_cost> advice{};  ///< set: only advised workers may run its steps
 
-  /// @return what tells the queue from all others: host and path prefix.
+  /// @return the identity of the queue: host and path prefix.
   [[nodiscard]] std::string Key() const { return host + path_prefix; }
 
   friend bool operator==(const queue_rules&, const queue_rules&) = default;
 };
 
-/// The operator's rules for one pool of workers.
+/// The operator's rules for one worker pool.
 struct pool_rules {
   std::string name;
-  bool guards_capacity{false};  ///< its workers refuse what doesn't fit
-  bool standby{false};          ///< its machines are off
+  bool guards_capacity{false};  ///< its workers refuse tasks that exceed their capacity
+  bool standby{false};          ///< its machines are powered off
 
   friend bool operator==(const pool_rules&, const pool_rules&) = default;
 };
@@ -64,10 +64,10 @@
   std::vector<pool_rules> pools;
   client_limits limits;
 
-  /// @return the queue that a caller's host and path select; null where there is none.
+  /// @return the queue that matches a caller's host and path; null if there is none.
   [[nodiscard]] const queue_rules* Match(std::string_view host, std::string_view path) const;
 
-  /// @return the queue of that `queue_rules::Key`; null where there is none.
+  /// @return the queue with that `queue_rules::Key`; null if there is none.
   [[nodiscard]] const queue_rules* Find(std::string_view key) const;
 
   friend bool operator==(const cell_configuration&, const cell_configuration&) = default;
--- a/src/rosearch/sched/fill_index.cc
+++ b/src/rosearch/sched/fill_index.cc
@@ -3,11 +3,11 @@
 namespace rosearch::sched {
 namespace {
 
-constexpr std::int64_t kWhole = 1'000'000;
+constexpr std::int64_t kFullFill = 1'000'000;
 
 std::int64_t FillOf(const worker_state& worker) {
   const auto capacity = std::max<std::int64_t>(1, worker.facts.capacity.processors_milli);
-  return worker.used.processors_milli * kWhole / capacity;
+  return worker.used.processors_milli * kFullFill / capacity;
 }
 
 }  // namespace
@@ -61,8 +61,8 @@
 
 std::set<fill_index::entry>::const_iterator fill_index::OpenEnd(const pool_workers& pool,
                                                                 std::int64_t processors_milli) {
-  // At a fill above this even the largest worker has less than that free.
-  const auto most = kWhole - processors_milli * kWhole / pool.largest_milli;
+  // Above this fill even the largest worker of the pool has too few free processors.
+  const auto most = kFullFill - processors_milli * kFullFill / pool.largest_milli;
   return pool.workers.lower_bound(entry{most + 1, nullptr});
 }
 
--- a/src/rosearch/sched/fill_index.h
+++ b/src/rosearch/sched/fill_index.h
@@ -15,26 +15,27 @@
 
 namespace rosearch::sched {
 
-/// Workers of each pool by how full their processors are, so that a search for places in a large
-/// pool meets the likely ones first and can stop early. Owns no worker.
+/// Orders the workers of each pool by processor utilization, so that placement in a large pool
+/// visits the most suitable workers first and can stop early. Doesn't own the workers.
 class fill_index {
  public:
-  /// Takes in that a worker came, or that its pool, its capacity or what it uses has changed. It is
-  /// moved only when somebody looks: most change several times between two looks.
+  /// Records that a worker was added, or that its pool, capacity or usage has changed. The index
+  /// is updated at the next query only, since most workers change several times between queries.
   void Update(worker_state& worker) {
     if (!std::exchange(worker.fill_changed, true)) {
       changed_.push_back(&worker);
     }
   }
-  /// Forgets a worker; call before it goes.
+  /// Removes a worker; call before the worker is destroyed.
   void Remove(worker_state& worker);
-  /// @return workers of a pool.
+  /// @return the number of workers in a pool.
   [[nodiscard]] std::size_t Size(const std::string& pool);
 
-  /// Visits the workers of a pool that may have processors free, with a margin: sizes differ.
-  /// @param processors_milli  wanted, in thousandths.
-  /// @param emptiest_first    or the fullest of them.
-  /// @param visit             called with a worker; returns whether to go on.
+  /// Visits the workers of a pool that may have enough free processors. The bound is computed for
+  /// the largest worker of the pool, so that smaller ones with too little room may be visited too.
+  /// @param processors_milli  required processors, in thousandths.
+  /// @param emptiest_first    true: lowest utilization first; false: highest first.
+  /// @param visit             called with each worker; returns whether to continue.
   template <typename Visitor>
   void VisitOpen(const std::string& pool, std::int64_t processors_milli, bool emptiest_first,
                  Visitor visit) {
@@ -53,7 +54,7 @@
     }
   }
 
-  /// Visits the other workers of a pool, the emptiest first.
+  /// Visits the workers of a pool that `VisitOpen` leaves out, lowest utilization first.
   template <typename Visitor>
   void VisitFull(const std::string& pool, std::int64_t processors_milli, Visitor visit) {
     MoveChanged();
@@ -70,7 +71,7 @@
     std::int64_t fill{0};  ///< processors used, in millionths of the capacity
     worker_state* worker{nullptr};
 
-    /// One without a worker is a bound for searches: equal to all of the same fill.
+    /// An entry without a worker is a search bound, equivalent to every entry of the same fill.
     friend bool operator<(const entry& left, const entry& right) {
       if (left.fill != right.fill || left.worker == nullptr || right.worker == nullptr) {
         return left.fill < right.fill;
@@ -80,7 +81,7 @@
   };
   struct pool_workers {
     std::set<entry> workers;
-    std::int64_t largest_milli{1};  ///< capacity of the largest worker that was ever here
+    std::int64_t largest_milli{1};  ///< capacity of the largest worker ever indexed, in thousandths
   };
   struct place {
     std::string pool;
--- a/src/rosearch/sched/instant.h
+++ b/src/rosearch/sched/instant.h
@@ -7,11 +7,11 @@
 
 namespace rosearch::sched {
 
-/// One moment by both clocks. Only timetables and what outlives a process use the time of day: it
-/// may jump, the other never does.
+/// A point in time on both the steady clock and the wall clock. The wall clock may jump, so only
+/// timetables and times that outlive the process use it.
 struct instant {
   time_point steady{};
-  std::int64_t wall_ms{0};  ///< time of day in ms since 1970
+  std::int64_t wall_ms{0};  ///< Unix time in ms
 
   friend bool operator==(const instant&, const instant&) = default;
 };
--- a/src/rosearch/sched/job_codec.h
+++ b/src/rosearch/sched/job_codec.h
@@ -13,16 +13,16 @@
 
 namespace rosearch::sched {
 
-/// @return a job's own record for the store.
+/// @return the stored record of a job's specification.
 [[nodiscard]] std::string EncodeJob(const job_spec& job);
 
-/// @return the job of a record; nothing where the record can't be read.
+/// @return the decoded specification; nothing if the record is malformed.
 [[nodiscard]] std::optional<job_spec> DecodeJob(const std::string& record);
 
-/// @return the record of how far a job is.
+/// @return the stored record of a job's progress.
 [[nodiscard]] std::string EncodeProgress(const job_state& job);
 
-/// Puts what a record says into a freshly made job; occurrences are added as needed.
+/// Applies a stored progress record to a newly created job; adds occurrences as needed.
 void ApplyProgress(const wire::stored_progress& record, job_state& job);
 
 }  // namespace rosearch::sched
--- a/src/rosearch/sched/job_state.cc
+++ b/src/rosearch/sched/job_state.cc
@@ -7,8 +7,8 @@
 namespace rosearch::sched {
 namespace {
 
-/// Cuts the last of the dot-separated numbers off a text.
-std::optional<std::uint32_t> CutNumber(std::string_view& text) {
+/// Removes the last dot-separated number from a text and returns it.
+std::optional<std::uint32_t> RemoveLastNumber(std::string_view& text) {
   const auto dot = text.rfind('.');
   if (dot == std::string_view::npos) {
     return std::nullopt;
@@ -31,9 +31,9 @@
 }
 
 std::optional<task_name> task_name::Parse(std::string_view text) {
-  const auto index = CutNumber(text);
-  const auto step = CutNumber(text);
-  const auto occurrence = CutNumber(text);
+  const auto index = RemoveLastNumber(text);
+  const auto step = RemoveLastNumber(text);
+  const auto occurrence = RemoveLastNumber(text);
   if (!index || !step || !occurrence || text.empty()) {
     return std::nullopt;
   }
@@ -41,7 +41,7 @@
 }
 
 std::uint32_t step_state::Idle() const {
-  // Mostly all tasks run, and hundreds of steps are asked in each pass.
+  // Fast path: usually all tasks run or are done, and each pass checks hundreds of steps.
   if (!spec->may_duplicate && runs.size() + done >= tasks.size()) {
     return 0;
   }
--- a/src/rosearch/sched/job_state.h
+++ b/src/rosearch/sched/job_state.h
@@ -19,16 +19,16 @@
 struct step_state;
 struct worker_state;
 
-/// Which task of which job: its name is JOB.OCCURRENCE.STEP.INDEX.
+/// Identifies a task; its text form is JOB.OCCURRENCE.STEP.INDEX.
 struct task_name {
   std::string job;
   std::uint32_t occurrence{0};
   std::uint32_t step{0};
   std::uint32_t index{0};
 
-  /// @return the name as text.
+  /// @return the text form of the name.
   [[nodiscard]] std::string Text() const;
-  /// @return the name that a text spells; nothing where it spells none.
+  /// @return the parsed name; nothing if the text is not a task name.
   [[nodiscard]] static std::optional<task_name> Parse(std::string_view text);
 
   friend bool operator==(const task_name&, const task_name&) = default;
@@ -37,21 +37,21 @@
 /// One task of an open step.
 struct task_state {
   bool done{false};
-  std::uint32_t live{0};   ///< runs that may be under way
-  bool wants_copy{false};  ///< its run is slow: a second one may start beside it
-  std::uint32_t runs{0};   ///< runs begun under the present leadership
-  /// Runs that ended failed. Ends are listed again until they are acknowledged, also to a new
-  /// leader and there in any order: counted by number alone, one failure would count twice and a
-  /// job fail too early, or one would be missed and a task tried more often than allowed.
+  std::uint32_t live{0};   ///< runs that may be active
+  bool wants_copy{false};  ///< its run is slow: a second copy may start
+  std::uint32_t runs{0};   ///< runs started under the current leadership
+  /// Numbers of the failed runs. Workers report each end until it is acknowledged, to a new leader
+  /// too and in any order. With a plain counter or only the newest number, a failure could count
+  /// twice, so that the job fails too early, or be missed, so that the task runs too often.
   std::vector<std::uint32_t> failed_runs;
-  std::string checkpoint;       ///< newest known; empty: none
+  std::string checkpoint;       ///< newest reported; empty: none
   std::string failed_on;        ///< worker of the last failure
-  time_point not_before{};      ///< no start before
-  duration took{};              ///< done: how long its run worked; zero where that isn't known
-  std::uint32_t quick_ends{0};  ///< of a service: runs in a row that ended early
+  time_point not_before{};      ///< earliest start of the next run
+  duration took{};              ///< done: duration of its run; zero if unknown
+  std::uint32_t quick_ends{0};  ///< service: consecutive runs that ended early
 };
 
-/// @return whether a task is to be started.
+/// @return whether a run of the task should be started.
 [[nodiscard]] inline bool WantsStart(const task_state& task) {
   return !task.done && (task.live == 0 || task.wants_copy);
 }
@@ -63,70 +63,70 @@
   std::uint32_t occurrence{0};
   std::uint32_t index{0};
   std::vector<task_state> tasks;
-  std::vector<live_run*> runs;  ///< under way
+  std::vector<live_run*> runs;  ///< active runs
   advice_book advice;
   std::uint32_t done{0};
-  bool open{false};               ///< its turn has come
-  bool listed{false};             ///< among the steps that a pass looks at
-  std::uint32_t gang_runs{0};     ///< gang: runs begun under the present leadership
-  bool reserves_room{false};      ///< some worker is reserved for it
-  time_point open_since{};        ///< when its turn came
-  time_point reserve_again_at{};  ///< its reservations are not looked at before
-  bool clearing{false};           ///< gang: broken, waits until all members are gone
-  std::uint64_t blocked_at{0};    ///< version of the room at which nothing fitted
-  time_point look_again_at{};     ///< blocked until then, unless room is freed before
-  time_point tell_waiting_at{};   ///< when the log next says what it waits for
-
-  /// @return tasks that are to be started.
+  bool open{false};               ///< its dependencies are done: tasks may start
+  bool listed{false};             ///< in the list of steps that a scheduling pass considers
+  std::uint32_t gang_runs{0};     ///< gang: runs started under the current leadership
+  bool reserves_room{false};      ///< holds a reservation on some worker
+  time_point open_since{};        ///< when it was opened
+  time_point reserve_again_at{};  ///< earliest next review of its reservations
+  bool clearing{false};           ///< gang: broken, waiting until all its runs have ended
+  std::uint64_t blocked_at{0};    ///< room version at which no worker had room
+  time_point look_again_at{};     ///< next placement attempt, unless room is freed earlier
+  time_point tell_waiting_at{};   ///< earliest next log line about what it waits for
+
+  /// @return the number of tasks that should be started.
   [[nodiscard]] std::uint32_t Idle() const;
   /// @return JOB.OCCURRENCE.STEP.
   [[nodiscard]] std::string Name() const;
   [[nodiscard]] bool Finished() const { return done == tasks.size(); }
 };
 
-/// One run of all steps of a job.
+/// One execution of all steps of a job.
 struct occurrence_state {
   std::uint32_t number{0};
   bool done{false};
-  std::vector<std::unique_ptr<step_state>> steps;  ///< empty before it is due and once it is done
+  std::vector<std::unique_ptr<step_state>> steps;  ///< empty until it is due and after it is done
 };
 
 /// An accepted job that hasn't ended, or whose runs are still being stopped.
 struct job_state {
   std::shared_ptr<const job_spec> spec;
-  // What its queue says now or, where the queue is gone, last said.
+  // Current rules of its queue; the last known ones if the queue was removed.
   std::string pool;
   std::uint32_t priority{0};
   std::uint32_t max_attempts{1};
   std::optional<advice_cost> advice{};
   job_phase phase{job_phase::kQueued};
-  job_phase stored_phase{job_phase::kQueued};  ///< what callers are told
-  bool accepted{false};                        ///< stored: from now on it is owed
+  job_phase stored_phase{job_phase::kQueued};  ///< the phase that callers see
+  bool accepted{false};                        ///< its record is stored: it must be run to an end
   bool restored{false};                        ///< accepted under an earlier leadership
-  bool new_record{true};                       ///< its own record has yet to be stored
+  bool new_record{true};                       ///< its specification has yet to be stored
   bool dirty{false};                           ///< its progress has yet to be stored
-  std::uint32_t live{0};                       ///< runs that may be under way
-  time_point finish_by{};                      ///< objective, by the steady clock
+  std::uint32_t live{0};                       ///< runs that may be active
+  time_point finish_by{};                      ///< deadline from its objective
   std::int64_t ended_ms{0};
-  std::vector<std::unique_ptr<occurrence_state>> occurrences;  ///< all that are due so far
+  std::vector<std::unique_ptr<occurrence_state>> occurrences;  ///< all that have become due
 
-  /// @return how many occurrences the job has in all.
+  /// @return the total number of occurrences of the job.
   [[nodiscard]] std::uint32_t Occurrences() const {
     return spec->occurrences == 0 ? 1 : spec->occurrences;
   }
-  /// @return the step of that name; null where the job has none or it isn't under way.
+  /// @return the step; null if it doesn't exist or its occurrence is not active.
   [[nodiscard]] step_state* Step(std::uint32_t occurrence, std::uint32_t step) const;
 };
 
-/// Makes the next occurrence of a job, with its steps closed.
+/// Adds the next occurrence to a job, with all steps closed.
 /// @return the new occurrence.
 occurrence_state& AddOccurrence(job_state& job);
 
-/// @return the longest chain of estimates through the steps.
+/// @return the length of the critical path through the steps, by their estimates.
 [[nodiscard]] duration LongestChain(const std::vector<step_spec>& steps);
 
-/// @return work of the whole job: processors times estimates, in thousandths of a processor times
-///         milliseconds.
+/// @return the total work of a job, processors times estimates, in thousandths of a processor times
+///         ms.
 [[nodiscard]] double TotalWork(const job_spec& job);
 
 }  // namespace rosearch::sched
--- a/src/rosearch/sched/mechanism.h
+++ b/src/rosearch/sched/mechanism.h
@@ -9,28 +9,28 @@
 
 namespace rosearch::sched {
 
-/// A mechanism that can be switched off, so that what it is worth can be measured.
+/// A mechanism that can be disabled to measure its effect.
 enum class mechanism : std::uint8_t {
-  kAdmission,      ///< jobs that can't be done in time are refused
-  kReserve,        ///< a share of each worker is kept for urgent work
-  kPreemption,     ///< urgent work stops what checkpoints
-  kPacking,        ///< long work fills workers up, urgent work spreads
-  kHealth,         ///< workers that fail or hang are left alone
-  kAdviceAhead,    ///< workers without room are asked about, too
-  kReservation,    ///< a step that waits long reserves workers that it may run on
-  kRescue,         ///< runs far slower than their siblings are moved
-  kSpeeds,         ///< quick work prefers workers that are fast, long work the others
-  kHopelessLast,   ///< jobs that are far too late go behind all others
-  kAdviceByAll,    ///< all processes ask for advice, not the leader alone
-  kBatchesBeside,  ///< batches go to the store beside one another
-  kSecondWay,      ///< what can't be reached directly is reached by way of a peer
-  kEarlyElection,  ///< a leader is suspected once its connection breaks
-  kRelays,         ///< peers make a large cell's exchanges with workers
+  kAdmission,      ///< refuses jobs that can't meet their objective
+  kReserve,        ///< reserves a share of each worker for urgent work
+  kPreemption,     ///< urgent work preempts runs that checkpoint
+  kPacking,        ///< packs long work tightly and spreads urgent work
+  kHealth,         ///< quarantines workers whose runs fail or hang
+  kAdviceAhead,    ///< requests advice about workers without room as well
+  kReservation,    ///< steps that wait long reserve workers
+  kRescue,         ///< moves runs that are far slower than their siblings
+  kSpeeds,         ///< places short work on fast workers, long work on the others
+  kHopelessLast,   ///< serves jobs that are far past their objective last
+  kAdviceByAll,    ///< all processes send advice queries, not only the leader
+  kBatchesBeside,  ///< writes batches to the store concurrently
+  kSecondWay,      ///< reaches unreachable destinations through a peer
+  kEarlyElection,  ///< suspects the leader as soon as its connection breaks
+  kRelays,         ///< peers handle the worker traffic of a large cell
 };
 
 inline constexpr std::size_t kMechanisms = 15;
 
-/// Mechanisms that are switched off.
+/// A set of mechanisms.
 class mechanism_set {
  public:
   void Add(mechanism which) { bits_.set(static_cast<std::size_t>(which)); }
@@ -44,7 +44,7 @@
   std::bitset<kMechanisms> bits_;
 };
 
-/// @return the mechanism that settings call so; nothing where there is none.
+/// @return the mechanism with that name in the settings; nothing if there is none.
 [[nodiscard]] std::optional<mechanism> MechanismNamed(std::string_view name);
 
 }  // namespace rosearch::sched
--- a/src/rosearch/sched/order.h
+++ b/src/rosearch/sched/order.h
@@ -13,20 +13,20 @@
 
 namespace rosearch::sched {
 
-/// Start one run at a worker.
+/// Order to start a run at a worker.
 struct start_order {
   std::string worker;
   std::string address;
   std::string task;
   std::uint32_t run{0};
   std::shared_ptr<const job_spec> job;
-  std::string checkpoint;  ///< resume from here; empty: from the beginning
-  std::string ticket;      ///< proves the advice that allows it; empty: none needed
+  std::string checkpoint;  ///< checkpoint to resume from; empty: start from the beginning
+  std::string ticket;      ///< proof of the advice that allows it; empty: none needed
 
   friend bool operator==(const start_order&, const start_order&) = default;
 };
 
-/// Stop one run at a worker; also makes sure that it can't begin there later.
+/// Order to stop a run at a worker. A start of that run which arrives later is refused.
 struct stop_order {
   std::string worker;
   std::string address;
@@ -36,7 +36,7 @@
   friend bool operator==(const stop_order&, const stop_order&) = default;
 };
 
-/// Let a run work at a share of its speed.
+/// Order to limit a run to a percentage of its speed.
 struct pace_order {
   std::string worker;
   std::string address;
@@ -47,7 +47,7 @@
   friend bool operator==(const pace_order&, const pace_order&) = default;
 };
 
-/// Ask which of these workers may run a step.
+/// Query to the advice service: which of these workers may run a step.
 struct advice_query {
   std::string step;  ///< JOB.OCCURRENCE.STEP
   std::vector<std::string> workers;
@@ -57,14 +57,14 @@
   friend bool operator==(const advice_query&, const advice_query&) = default;
 };
 
-/// @return how long the advice service works at a question.
+/// @return how long the advice service takes to answer a query.
 [[nodiscard]] inline duration CostOf(const advice_query& query) {
   return query.cost.base + query.cost.per_worker * static_cast<int>(query.workers.size());
 }
 
 using order = std::variant<start_order, stop_order, pace_order, advice_query>;
 
-/// A worker that may run a step, with the proof that the worker wants to see.
+/// A worker that may run a step, and the ticket that a start order must carry as proof.
 struct advised_worker {
   std::string worker;
   std::string ticket;
--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -26,37 +26,37 @@
 
 namespace rosearch::sched {
 
-/// What becomes of a job that a caller hands in.
+/// Result of submitting a job.
 enum class submit_verdict : std::uint8_t {
-  kAccepted,  ///< stored, now or before
+  kAccepted,  ///< stored, now or by an earlier submission
   kPending,   ///< will be accepted once `scheduler::OnStored` settles it
-  kRefused,   ///< it has not been accepted and never runs
+  kRefused,   ///< not accepted; the job never runs
 };
 
 struct submit_answer {
   submit_verdict verdict{submit_verdict::kRefused};
-  duration retry_after{};  ///< refused: when it pays to come back; zero: never as it is
+  duration retry_after{};  ///< refused: when to retry; zero: a retry of the same job is pointless
   std::string_view reason{};
 
   friend bool operator==(const submit_answer&, const submit_answer&) = default;
 };
 
-/// What becomes of a caller's order to cancel.
+/// Result of cancelling a job.
 enum class cancel_verdict : std::uint8_t {
-  kCancelled,  ///< stored, now or before; or the job has ended
+  kCancelled,  ///< stored, now or earlier, or the job has already ended
   kPending,    ///< will be acknowledged once `scheduler::OnStored` settles it
   kUnknown,    ///< there is no such job
 };
 
-/// A record for the store; the newest of each key counts.
+/// A record for the store; the newest record of each key is valid.
 struct stored_record {
   std::string key;
-  std::string value;  ///< empty: the key is dropped
+  std::string value;  ///< empty: the key is deleted
 
   friend bool operator==(const stored_record&, const stored_record&) = default;
 };
 
-/// Records that are stored together or not at all.
+/// Records that are stored atomically.
 struct state_batch {
   std::uint64_t number{0};
   std::vector<stored_record> records;
@@ -64,137 +64,140 @@
   friend bool operator==(const state_batch&, const state_batch&) = default;
 };
 
-/// A job whose caller waits for the store's word.
+/// Result for a caller that waits until its job or its cancellation is stored.
 struct settled_job {
   std::string id;
-  bool accepted{false};       ///< else refused: not stored, it never runs
-  bool cancelled{false};      ///< the order to cancel is stored
+  bool accepted{false};       ///< false: refused, not stored, never runs
+  bool cancelled{false};      ///< the cancellation is stored
   std::string_view reason{};  ///< refused: why
 
   friend bool operator==(const settled_job&, const settled_job&) = default;
 };
 
-/// How a worker is to be watched next.
+/// Parameters of the next watch of a worker.
 struct watch_request {
   std::string worker;
   std::string address;
-  std::uint64_t acked_end{0};  ///< ends up to here are stored: the worker may forget them
+  std::uint64_t acked_end{0};  ///< ends up to this number are stored; the worker may discard them
   bool extend_lease{false};
-  duration wait{};  ///< the worker may keep its answer back so long for an end
+  duration wait{};  ///< how long the worker may delay its answer until a run ends (long polling)
 
   friend bool operator==(const watch_request&, const watch_request&) = default;
 };
 
-/// Why a watch brought no report.
+/// Why a watch returned no report.
 enum class watch_failure : std::uint8_t {
   kNoAnswer,
-  kOtherLife,   ///< another life of the worker answered
-  kStaleFence,  ///< the worker obeys a newer leader
+  kOtherLife,   ///< another incarnation of the worker answered
+  kStaleFence,  ///< the worker has accepted a newer leader's fence
 };
 
-/// Figures about the state, for people.
+/// Counts about the cell's state, for operators.
 struct cell_counts {
   std::size_t jobs{0};
   std::size_t waiting_tasks{0};
   std::size_t runs{0};
   std::size_t workers_live{0};
   std::size_t workers{0};
-  std::size_t leases_ending{0};         ///< live workers whose lease ends within `kLeaseEnding`
-  std::size_t unsettled{0};             ///< workers that may run old work and haven't answered
-  duration oldest_report{};             ///< age of the oldest newest report of a live worker
-  std::uint64_t placement_attempts{0};  ///< tries to place a waiting step, since the beginning
-  std::uint64_t worker_looks{0};  ///< workers looked at for a waiting step, since the beginning
+  std::size_t leases_ending{0};  ///< live workers whose lease ends within `kLeaseEnding`
+  std::size_t unsettled{
+      0};  ///< workers that may run tasks of an earlier leader and haven't answered
+  duration oldest_report{};             ///< max age of the newest report over all live workers
+  std::uint64_t placement_attempts{0};  ///< attempts to place a waiting step, since the start
+  std::uint64_t worker_looks{0};        ///< workers considered for a waiting step, since the start
 
   friend bool operator==(const cell_counts&, const cell_counts&) = default;
 };
 
-/// A lease that ends within this is about to lapse: it is extended every 0.6 s.
+/// A lease that ends within this time counts as about to expire; leases are extended every 0.6 s.
 inline constexpr duration kLeaseEnding = std::chrono::seconds{3};
 
-/// What a step waits for, in words of docs/OPERATIONS.md, and what each worker is to it.
+/// What a step waits for, in the terms of docs/OPERATIONS.md, and why workers can't run it.
 struct wait_view {
   std::string_view what{};
-  std::size_t unsettled{0};    ///< workers that may run old work and haven't answered
-  std::size_t out_of_use{0};   ///< silent, leaving, gone, or not yet recorded
-  std::size_t left_alone{0};   ///< after failures
-  std::size_t unfit{0};        ///< by label, pool or spreading
-  std::size_t not_allowed{0};  ///< by advice
+  std::size_t unsettled{
+      0};  ///< workers that may run tasks of an earlier leader and haven't answered
+  std::size_t out_of_use{0};   ///< silent, leaving, gone or not yet recorded
+  std::size_t left_alone{0};   ///< quarantined after failures
+  std::size_t unfit{0};        ///< excluded by label, pool or per-worker limit
+  std::size_t not_allowed{0};  ///< excluded by advice
   std::size_t no_room{0};
   std::size_t open{0};
 
   friend bool operator==(const wait_view&, const wait_view&) = default;
 };
 
-/// What is to be expected of a run that is under way.
+/// Forecast for an active run.
 struct run_outlook {
-  double slowdown{1.0};  ///< its time against that of its siblings elsewhere
-  duration remaining{};  ///< at its present speed
-  duration elsewhere{};  ///< a new start, the stop included
+  double slowdown{1.0};  ///< ratio of its run time to that of its siblings elsewhere
+  duration remaining{};  ///< remaining time at its current speed
+  duration elsewhere{};  ///< time of a new start elsewhere, including the stop
 
   friend bool operator==(const run_outlook&, const run_outlook&) = default;
 };
 
-/// How long a job took to come so far.
+/// Time from a job's submission to its first start or to its end.
 struct job_timing {
-  bool ended{false};  ///< else: its first task was ordered to start
+  bool ended{false};  ///< false: its first task was ordered to start
   job_phase phase{job_phase::kQueued};
   std::uint32_t priority{0};
-  duration took{};  ///< since its caller handed it in
+  duration took{};  ///< since submission
 
   friend bool operator==(const job_timing&, const job_timing&) = default;
 };
 
-/// What the workers of a pool that take work hold, and what waits for them; processors in
-/// thousandths.
+/// Capacity and load of a pool, over the workers that take work; processors in thousandths.
 struct pool_load {
   double capacity{0};
   double free{0};                             ///< not in use
   double services{0};                         ///< used by services
   std::map<std::uint32_t, double> running{};  ///< used by other runs, by priority
-  /// Work of tasks that wait, services aside: thousandths of a processor times ms, by priority.
+  /// Work of waiting tasks except services, in thousandths of a processor times ms, by priority.
   std::map<std::uint32_t, double> waiting{};
   time_point measure_again_at{};
 
   friend bool operator==(const pool_load&, const pool_load&) = default;
 };
 
-/// @return whether work may use room that is kept free for bursts, and spreads out.
+/// @return whether a step is urgent: it may use the room reserved for bursts, and is spread out.
 [[nodiscard]] bool Urgent(const step_state& step);
 
-/// @return processors, in thousandths, that a worker must have free for a task of a step.
+/// @return the free processors that a task of a step requires, in thousandths.
 [[nodiscard]] std::int64_t ProcessorsWanted(const step_state& step);
 
-/// Decides for the whole cell what runs where and when: takes in what callers, workers, advice and
-/// the store say, and gives out orders and records. It reads no clock and does no I/O, so a load
-/// and its faults can be replayed exactly.
+/// Schedules all tasks of the cell: receives events from callers, workers, the advice service and
+/// the store, and produces orders and records. It reads no clock and does no I/O, so that a load
+/// with its faults can be replayed deterministically.
 ///
-/// What it promises, whatever is lost, late or doubled outside: no worker is promised more than it
-/// holds; no task runs twice at a time; no start before the steps it depends on; a job is owed from
-/// the moment that its record is stored, and an end is acknowledged only once it is stored.
+/// Guarantees, even if messages are lost, delayed or duplicated: no worker is charged beyond its
+/// capacity; no task runs twice at a time; no step starts before the steps that it depends on; a
+/// job whose record is stored is run to an end; and an end is acknowledged only once it is
+/// stored.
 class scheduler {
  public:
-  /// @param epoch  number of this leadership; higher than that of every earlier one.
-  /// @param log    takes a line for each decision; must outlive the scheduler.
+  /// @param epoch  number of this leadership; higher than that of every earlier leader.
+  /// @param log    receives a line for each decision; must outlive the scheduler.
   scheduler(const scheduler_settings& settings, std::uint64_t epoch, event_sink& log);
   ~scheduler();
   scheduler(const scheduler&) = delete;
   scheduler& operator=(const scheduler&) = delete;
 
-  // Taking over what an earlier leader left.
+  // Takeover from an earlier leader.
 
-  /// Takes in one stored record. Call for all records before anything else.
-  /// @return whether it could be read.
+  /// Restores one stored record. Call for all records before any other function.
+  /// @return whether the record could be decoded.
   bool Restore(const stored_record& record, const instant& now);
-  /// Ends the taking over: what the former leader may have started is still unknown at every
-  /// recorded worker until it answers, or until its lease has certainly lapsed.
+  /// Ends the restore phase. Runs that the former leader may have started at a recorded worker stay
+  /// unknown until the worker answers or its lease has certainly expired.
   void FinishRestore(const instant& now);
-  /// @return whether every worker that the former leader used has answered or lapsed. Until then
-  ///         old tasks start only where advice rules out that they run at one that hasn't.
+  /// @return whether every worker of the former leader has answered or its lease has expired. Until
+  ///         then an old task starts only if advice excludes that it runs at a worker which
+  ///         hasn't.
   [[nodiscard]] bool OldRunsSettled() const { return unsettled_.empty(); }
 
   // Configuration.
 
-  /// Puts a version in force; an older one than that in force is ignored.
+  /// Applies a configuration; one older than the current version is ignored.
   void Configure(cell_configuration configuration, const instant& now);
   [[nodiscard]] const cell_configuration& configuration() const { return configuration_; }
 
@@ -203,88 +206,90 @@
   [[nodiscard]] submit_answer Submit(job_spec job, const instant& now);
   [[nodiscard]] cancel_verdict Cancel(std::string_view id, std::string_view queue,
                                       const instant& now);
-  /// @return the phase of a job as its caller may know it; nothing where there is no such job.
+  /// @return the stored phase of a job, as callers see it; nothing if there is no such job.
   [[nodiscard]] std::optional<job_phase> Phase(std::string_view id, std::string_view queue) const;
-  /// @return accepted jobs of a queue of which nothing has started.
+  /// @return the number of accepted jobs of a queue that haven't started yet.
   [[nodiscard]] std::size_t Waiting(std::string_view queue) const;
 
   // Workers.
 
-  /// Takes in a worker's entry in the platform's registry.
+  /// Records a worker's entry in the platform's registry.
   void ObserveWorker(const worker_facts& facts, const instant& now);
-  /// The registry no longer lists a worker.
+  /// Records that the registry no longer lists a worker.
   void UnlistWorker(const std::string& id, const instant& now);
   /// @return ids of the workers to watch.
   [[nodiscard]] std::vector<std::string> WatchedWorkers() const;
-  /// Plans the next watch of a worker, which is then taken as sent.
-  /// @return nothing where the worker needs none any more.
+  /// Prepares the next watch of a worker and records it as sent.
+  /// @return nothing if the worker needs no more watches.
   [[nodiscard]] std::optional<watch_request> NextWatch(const std::string& worker,
                                                        const instant& now);
-  /// @return how long the next watch of a worker should wait.
+  /// @return the delay before the next watch of a worker.
   [[nodiscard]] duration WatchPause(const std::string& worker, const instant& now) const;
   void OnReport(const std::string& worker, time_point sent_at, const worker_report& report,
                 const instant& now);
   void OnWatchFailed(const std::string& worker, watch_failure failure, const instant& now);
   void OnStartAnswer(const start_order& sent, start_outcome outcome, const instant& now);
-  /// @param heard  whether the worker answered that it obeys.
+  /// @param heard  whether the worker acknowledged the order.
   void OnStopAnswer(const stop_order& sent, bool heard, const instant& now);
 
   // Advice.
 
-  /// @param allowed  nothing where the question was not answered.
+  /// @param allowed  null if the query was not answered.
   void OnAdvice(const advice_query& asked, const std::vector<advised_worker>* allowed,
                 const instant& now);
 
   // Store.
 
-  /// @return whether there is anything to store.
+  /// @return whether there are records to store.
   [[nodiscard]] bool HasRecords() const;
-  /// @return whether somebody waits for what there is to store.
+  /// @return whether a caller or worker waits for one of the records to store.
   [[nodiscard]] bool HasUrgentRecords() const { return urgent_; }
-  /// Collects what has to be stored; one batch at a time.
+  /// Returns the next batch of records to store.
   [[nodiscard]] state_batch TakeBatch();
-  /// The batch is stored.
+  /// Records that a batch is stored.
   void OnStored(std::uint64_t number, const instant& now);
-  /// The batch is certainly not stored. New jobs in it are refused for good, the rest is kept for
-  /// the next batch.
+  /// Records that a batch is certainly not stored. New jobs in it are refused; its other records
+  /// are kept for the next batch.
   void OnNotStored(std::uint64_t number);
-  /// Refuses every new job that no batch has carried to the store yet: it is away, and a caller
-  /// that is told so at once can come back in time.
+  /// Refuses every new job that is in no batch yet. Called while the store is unavailable, so that
+  /// callers learn it immediately and can retry in time.
   void RefuseUnsent();
-  /// @return whether a job was handed in and what becomes of it is still open.
+  /// @return whether a job was submitted and is neither accepted nor refused yet.
   [[nodiscard]] bool IsPending(std::string_view id) const;
-  /// @return callers that can be answered since the last call.
+  /// @return results for callers that became available since the last call.
   [[nodiscard]] std::vector<settled_job> TakeSettled() { return std::exchange(settled_, {}); }
-  /// @return workers whose ends were stored since the last call: they wait to be watched.
+  /// @return workers whose ends were stored since the last call; their next watch acknowledges
+  /// them.
   [[nodiscard]] std::vector<std::string> TakeAcked() { return std::exchange(acked_, {}); }
 
   // Time.
 
-  /// Looks after what time alone changes; call every 50 ms or so.
+  /// Handles timeouts and retries; call about every 50 ms.
   void Tick(const instant& now);
-  /// Takes in how late the process just was with what was due; call with each `Tick`.
+  /// Records the current delay of the event loop; call with each `Tick`.
   void NoteDelay(duration delay);
-  /// @return how long to let inputs collect for one pass, beyond the usual: a late leader decides
-  ///         about more at a time.
+  /// @return extra time to collect inputs before a scheduling pass: an overloaded leader handles
+  ///         more inputs per pass.
   [[nodiscard]] duration PassPause() const;
-  /// @return whether what is due waits noticeably for the process.
+  /// @return whether the event loop is overloaded: its delay exceeds `kLate`.
   [[nodiscard]] bool Late() const { return loop_delay_ > kLate; }
-  /// Places what can be placed. Call after inputs; several may share one call.
+  /// Runs a scheduling pass, which places all tasks that fit. Call after inputs; several inputs may
+  /// share one pass.
   void Schedule(const instant& now);
-  /// @return the orders decided since the last call.
+  /// @return the orders issued since the last call.
   [[nodiscard]] std::vector<order> TakeOrders() { return std::exchange(orders_, {}); }
 
-  /// @return whether a newer leader was met; this scheduler must decide nothing more.
+  /// @return whether a worker reported a newer leader; this scheduler must issue no more orders.
   [[nodiscard]] bool Deposed() const { return deposed_; }
   [[nodiscard]] cell_counts Counts(const instant& now) const;
-  /// @return tries to place a waiting step, since the beginning.
+  /// @return attempts to place a waiting step, since the start.
   [[nodiscard]] std::uint64_t PlacementAttempts() const { return placement_attempts_; }
-  /// @return what jobs took since the last call.
+  /// @return the job timings recorded since the last call.
   [[nodiscard]] std::vector<job_timing> TakeTimings() { return std::exchange(timings_, {}); }
-  /// @return a text for people: steps with what each waits for, workers with room, lease and
-  /// health.
+  /// @return a text for operators: steps with what each waits for, and workers with room, lease and
+  ///         health.
   [[nodiscard]] std::string Dump(const instant& now) const;
-  /// @return a text for people: where one job stands, and why what waits of it waits.
+  /// @return a text for operators: the state of a job, and why its waiting steps wait.
   [[nodiscard]] std::string Explain(std::string_view id, const instant& now) const;
 
  private:
@@ -297,7 +302,7 @@
 
   // scheduler_jobs.cc
   job_state* FindJob(std::string_view id);
-  /// @return the step that a task belongs to; null where it isn't known or isn't under way.
+  /// @return the step of a task; null if it is unknown or its occurrence is not active.
   step_state* FindStep(const task_name& name);
   void NoteTiming(const job_state& job, bool ended, const instant& now);
   void OpenDue(job_state& job, const instant& now);
@@ -312,10 +317,10 @@
   void RetireEnded(const instant& now);
   void FinishOccurrence(job_state& job, occurrence_state& occurrence, const instant& now);
   [[nodiscard]] submit_answer Admit(const job_spec& job, const instant& now);
-  /// @return how long a job would wait for the leader's own time, in ms.
+  /// @return how long a job would wait for the leader's event loop, in ms.
   [[nodiscard]] double WaitsForLeaderMs(const job_spec& job) const;
   [[nodiscard]] pool_load MeasureLoad(const std::string& pool) const;
-  /// @return what a pool holds and what waits for it, measured lately.
+  /// @return the load of a pool from a recent measurement.
   [[nodiscard]] const pool_load& LoadOf(const std::string& pool, const instant& now);
   [[nodiscard]] double MeanSlackMs(const job_spec& job);
   [[nodiscard]] bool FitsSomewhere(const job_spec& job) const;
@@ -334,7 +339,7 @@
   void SetNotBefore(const std::string& task, time_point not_before);
 
   // scheduler_runs.cc
-  /// Counts a run wherever it has to be counted; `Detach` takes it out again.
+  /// Adds a run to the counts and lists of its job, step and worker; `Detach` removes it.
   live_run& Attach(step_state& step, std::uint32_t index, worker_state& worker,
                    std::uint32_t number, const instant& now);
   live_run& BeginRun(step_state& step, std::uint32_t index, worker_state& worker,
@@ -344,7 +349,7 @@
   void OrderStop(live_run& run, const instant& now);
   void TellRepeated(const live_run& run, std::string_view order);
   live_run* FindRun(const std::string& worker, const std::string& task, std::uint32_t run);
-  /// @param for_step  preempted: the step that needs the room.
+  /// @param for_step  for a preemption: the step that needs the room.
   void StopRun(live_run& run, stop_reason reason, const instant& now,
                const step_state* for_step = nullptr);
   void EndRun(live_run& run, end_kind how, const std::string& checkpoint, const instant& now);
@@ -368,15 +373,16 @@
   void DropWorker(const std::string& id);
   void SettleWorker(const std::string& id, std::string_view how, const instant& now);
   [[nodiscard]] duration LongestLease() const;
-  /// @return the number of a task's so many-th run under this leadership.
+  /// @return the run number for a task's `count`-th run under this leadership.
   [[nodiscard]] std::uint32_t RunNumber(std::uint32_t count) const;
 
   // scheduler_progress.cc
-  /// @return what a step's tasks take, by those that ended and those under way elsewhere than at
-  ///         `beside`; nothing where too few tell.
+  /// @return the typical run time of a step's tasks, from ended runs and from active runs on
+  /// workers
+  ///         other than `beside`; nothing if there are too few samples.
   [[nodiscard]] std::optional<duration> TypicalTime(const step_state& step,
                                                     const worker_state& beside) const;
-  /// @return how long a run goes on at its present speed, and how its speed compares.
+  /// @return the remaining time of a run at its current speed, and its slowdown.
   [[nodiscard]] std::optional<run_outlook> Outlook(const live_run& run, const instant& now) const;
   void NoteSpeed(const live_run& run, duration took);
   void RescueSlowRuns(worker_state& worker, const instant& now);
@@ -385,38 +391,38 @@
 
   // scheduler_placement.cc
   [[nodiscard]] bool Startable(const step_state& step) const;
-  /// @return whether a step that found no place would find none now: no room was freed since where
-  ///         it may run.
+  /// @return whether a step that found no room would fail again, since no room was freed on workers
+  ///         that it may run on.
   [[nodiscard]] bool StillBlocked(const step_state& step, const instant& now) const;
-  /// Takes in that a step found no place.
+  /// Records that a step found no room.
   void Block(step_state& step, const instant& now) const;
-  /// Takes in that room was freed at a worker.
+  /// Records that room was freed at a worker.
   void NoteRoom(worker_state& worker) { worker.room_version = ++room_version_; }
-  /// Takes in that any step may find room now.
+  /// Records that any step may find room now.
   void NoteRoomEverywhere() { all_room_version_ = ++room_version_; }
-  /// Takes in that a step may have tasks to start: it opened, or a run of it is gone.
+  /// Records that a step may have tasks to start, because it opened or a run of it ended.
   void NoteWaiting(step_state& step) {
     const bool counts = step.open && !IsTerminal(step.job->phase);
     if (counts && !std::exchange(step.listed, true)) {
       waiting_steps_.push_back(&step);
     }
   }
-  /// Lists anew what is open and what of it waits.
+  /// Rebuilds the lists of open and waiting steps.
   void ListSteps();
-  /// Takes the steps of a job off all lists.
+  /// Removes the steps of a job from all lists.
   void DropSteps(const job_state& job);
-  /// @return the open steps that may find a place now, in the order in which they are served.
+  /// @return the open steps that may find room now, in scheduling order.
   [[nodiscard]] std::vector<step_state*> InOrder(const instant& now);
   [[nodiscard]] bool MayRunUnseen(const step_state& step) const;
   void PlaceTasks(step_state& step, const instant& now);
   [[nodiscard]] bool MayRun(const step_state& step, const task_state* task,
                             const worker_state& worker, const instant& now) const;
-  /// @return the share of each worker of a pool that is kept for urgent work. None where no queue
-  ///         of the pool is urgent: kept there, it left every second place for half a worker's
-  ///         processors empty.
+  /// @return the share of each worker of a pool that is reserved for urgent work; zero if no queue
+  ///         of the pool is urgent: there a reserve would leave room for only one instead of two
+  ///         tasks per worker where a task needs half of its processors.
   [[nodiscard]] double Reserve(const std::string& pool) const;
-  /// @return whether all workers are looked at for a step, since its pool is small or what it gains
-  ///         by depends on more than how full they are.
+  /// @return whether all workers are considered for a step, because its pool is small or the best
+  ///         placement depends on more than processor utilization.
   [[nodiscard]] bool LooksAtAll(const step_state& step);
   [[nodiscard]] bool Fits(const step_state& step, const worker_state& worker) const;
   [[nodiscard]] double Score(const step_state& step, const worker_state& worker) const;
@@ -427,46 +433,49 @@
   [[nodiscard]] std::uint32_t Copies(const step_state& step, const worker_state& worker) const;
 
   // scheduler_advice.cc
-  /// Workers that a question may name, the best of each kind first.
+  /// Workers that an advice query may name; each list has the best first.
   struct advice_candidates {
-    std::vector<worker_state*> allowed;  ///< with room; advice allows them, their tickets expired
-    std::vector<worker_state*> unknown;  ///< with room; nothing is known of them
-    std::vector<worker_state*> full;     ///< without room now; nothing is known of them
+    std::vector<worker_state*>
+        allowed;  ///< with room; allowed by advice, but their tickets have expired
+    std::vector<worker_state*> unknown;  ///< with room; no advice about them yet
+    std::vector<worker_state*> full;     ///< without room; no advice about them yet
   };
-  /// @return those workers that a question can name at most, the best for a step first.
+  /// @return the best workers for a step, best first, at most as many as one query may name.
   [[nodiscard]] std::vector<worker_state*> BestFirst(
       const step_state& step, const std::vector<worker_state*>& workers) const;
   [[nodiscard]] advice_candidates WhomToAskAbout(const step_state& step, const instant& now);
-  /// @return names for a question that lets so many tasks of a step start.
+  /// @return the workers to name in a query that should allow `tasks` tasks of a step to start.
   [[nodiscard]] std::vector<std::string> WhomToName(const step_state& step, std::uint32_t tasks,
                                                     const instant& now);
   [[nodiscard]] std::vector<std::string> UnseenToAskAbout(const step_state& step) const;
   void AskAboutUnseen(step_state& step, const instant& now);
   void AskAdvice(step_state& step, std::uint32_t tasks, const instant& now);
-  /// @return whether a question for a step may be asked now; one that is overdue is given up.
+  /// @return whether a query for a step may be sent now; gives up an overdue one.
   [[nodiscard]] bool MayAsk(step_state& step, const instant& now);
   void SendQuestion(step_state& step, std::vector<std::string> workers, std::uint32_t tasks,
                     const instant& now);
 
   // scheduler_reservations.cc
-  /// Reserves workers for tasks of a step that has waited long, and stops there what may be
-  /// stopped.
+  /// Reserves workers for tasks of a step that has waited long, and preempts runs there if
+  /// allowed.
   void ReserveWorkers(step_state& step, std::uint32_t tasks, const instant& now);
   void ReleaseReservations(step_state& step);
-  /// @return workers that the step may run on and nobody else has reserved, the soonest free first.
+  /// @return workers that the step may run on and that no other step has reserved, earliest free
+  ///         first.
   [[nodiscard]] std::vector<worker_state*> Reservable(const step_state& step,
                                                       const instant& now) const;
-  /// @return how long it takes until a worker has room for a task of a step, as far as is known.
+  /// @return the estimated time until a worker has room for a task of a step.
   [[nodiscard]] duration UntilRoom(const step_state& step, const worker_state& worker,
                                    const instant& now) const;
-  /// @return whether a worker that a step reserves has room by the time that an answer takes.
+  /// @return whether a worker reserved for a step will have room before an advice query is
+  /// answered.
   [[nodiscard]] bool SoonFree(const step_state& step, const worker_state& worker,
                               const instant& now) const;
   [[nodiscard]] bool MayPreempt(const step_state& step, const live_run& run) const;
 
   // scheduler_gangs.cc
   void PlaceGang(step_state& step, const instant& now);
-  /// @return a worker for each member; empty where they don't all find places.
+  /// @return a worker for each member; empty if not all members can be placed.
   [[nodiscard]] std::vector<worker_state*> GangPlaces(
       const step_state& step, const std::vector<worker_state*>& candidates) const;
   void AskGangAdvice(step_state& step, const instant& now);
@@ -476,52 +485,55 @@
   [[nodiscard]] wait_view WhyWaiting(const step_state& step, const instant& now) const;
   void TellWaiting(step_state& step, const instant& now);
 
-  /// A leader that is later than this sheds load: it looks less often, decides about more at a
-  /// time, doesn't judge workers by times that are its own, and takes in fewer jobs.
+  /// A leader whose event loop is delayed by more than this sheds load: it watches workers less
+  /// often, handles more inputs per pass, doesn't judge workers by times that include its own
+  /// delay, and admits fewer jobs.
   static constexpr duration kLate = std::chrono::milliseconds{50};
   static constexpr std::uint32_t kAnyNumber = 1U << 20U;
-  /// In a large pool the best of so many workers with room are as good as the best of all.
+  /// Max workers with room considered in a large pool; considering more gives no better placement.
   static constexpr std::size_t kEnoughWorkers = 120;
-  /// Workers that are out of reach after a change of leader and are asked about; where more are,
-  /// most are about to answer.
+  /// Max unreachable workers after a leader change for which advice is requested. If there are
+  /// more, most are about to answer.
   static constexpr std::size_t kMostUnseen = 8;
 
   scheduler_settings settings_;
   std::uint64_t epoch_;
   event_sink& log_;
   cell_configuration configuration_;
-  std::set<std::string> urgent_pools_;  ///< pools that an urgent queue uses
+  std::set<std::string> urgent_pools_;  ///< pools with an urgent queue
   std::unordered_map<std::string, std::unique_ptr<job_state>> jobs_;
   std::unordered_map<std::string, ended_job> ended_;
-  std::map<std::string, std::unique_ptr<worker_state>> workers_;  ///< in a fixed order
-  fill_index fill_;                                               ///< of `workers_`
-  std::map<std::string, time_point> unsettled_;  ///< see `OldRunsSettled`; when each lapses
+  std::map<std::string, std::unique_ptr<worker_state>>
+      workers_;                                  ///< ordered, for deterministic iteration
+  fill_index fill_;                              ///< indexes `workers_`
+  std::map<std::string, time_point> unsettled_;  ///< see `OldRunsSettled`; expiry of each lease
   std::vector<step_state*> open_steps_;
-  std::vector<step_state*> waiting_steps_;       ///< those of them that may have tasks to start
+  std::vector<step_state*> waiting_steps_;       ///< open steps that may have tasks to start
   std::map<std::string, pool_load> loads_;       ///< by pool
-  std::map<std::string, double> mean_slack_ms_;  ///< by queue: time that its jobs can wait
-  std::map<std::string, double> advised_share_;  ///< by queue: share of named workers allowed
+  std::map<std::string, double> mean_slack_ms_;  ///< by queue: mean time that its jobs can wait
+  std::map<std::string, double>
+      advised_share_;  ///< by queue: share of named workers that were allowed
   std::vector<order> orders_;
   std::vector<settled_job> settled_;
   std::vector<job_timing> timings_;
   std::vector<std::string> acked_;
-  std::set<std::string> unacked_;       ///< workers with ends that aren't stored
-  std::vector<std::string> dirty_;      ///< jobs with something to store
-  std::vector<std::string> forgotten_;  ///< ended jobs whose records are to be dropped
-  std::vector<std::string> retiring_;   ///< jobs that may have become ended ones
+  std::set<std::string> unacked_;       ///< workers with ends that aren't stored yet
+  std::vector<std::string> dirty_;      ///< jobs with unstored changes
+  std::vector<std::string> forgotten_;  ///< ended jobs whose records must be deleted
+  std::vector<std::string> retiring_;   ///< jobs to check for retirement to `ended_`
   std::vector<stored_record> restoring_;
   bool workers_dirty_{false};
   bool urgent_{false};
   bool deposed_{false};
-  std::uint64_t room_version_{1};      ///< rises whenever room is freed or a worker comes
-  std::uint64_t all_room_version_{1};  ///< at the last change that may concern any step
+  std::uint64_t room_version_{1};      ///< increases whenever room is freed or a worker is added
+  std::uint64_t all_room_version_{1};  ///< room version of the last change that may affect any step
   std::uint64_t next_batch_{1};
   std::uint64_t placement_attempts_{0};
   std::uint64_t worker_looks_{0};
-  duration newest_delay_{};  ///< as `NoteDelay` was last told
-  duration loop_delay_{};    ///< what everything waits for the process; one late tick isn't enough
-  std::uint32_t admitted_since_tick_{0};       ///< jobs taken in since the last tick
-  std::uint32_t admission_limit_{kAnyNumber};  ///< jobs that may be taken in until the next one
+  duration newest_delay_{};  ///< last value passed to `NoteDelay`
+  duration loop_delay_{};  ///< smaller of the last two delays, so that one late tick has no effect
+  std::uint32_t admitted_since_tick_{0};       ///< jobs admitted since the last tick
+  std::uint32_t admission_limit_{kAnyNumber};  ///< max jobs admitted until the next tick
   std::map<std::uint64_t, stored_effects> storing_;
   time_point next_forget_{};
   time_point restored_at_{};
--- a/src/rosearch/sched/scheduler_settings.h
+++ b/src/rosearch/sched/scheduler_settings.h
@@ -9,88 +9,90 @@
 
 namespace rosearch::sched {
 
-/// Long enough for work to outlast a change of leader and 4 s without a store; every second more
-/// keeps the work of a dead worker waiting for that much longer.
+/// Long enough for runs to survive a leader change and a store outage of 4 s. A longer lease delays
+/// the restart of a dead worker's tasks by as much.
 inline constexpr duration kLongestLease = std::chrono::seconds{6};
 
-/// Bounds and weights of the scheduler. The platform's own bounds come from the process's settings;
-/// the others are defaults.
+/// Limits, timeouts and weights of the scheduler. The platform's limits come from the process
+/// settings; the others keep their defaults.
 struct scheduler_settings {
-  /// What is switched off, to measure what it is worth.
+  /// Mechanisms that are disabled to measure their effect.
   mechanism_set off{};
   [[nodiscard]] bool Uses(mechanism which) const { return !off.Has(which); }
 
-  /// Lease that workers are given, by their own clocks: what the platform grants at most, but no
-  /// more than `kLongestLease`.
+  /// Lease granted to workers, measured by their own clocks: the platform's maximum, but at most
+  /// `kLongestLease`.
   duration max_lease{std::chrono::seconds{6}};
-  /// A worker's clock may be slow by so much: 2% by the platform's pages, and a little for
+  /// Max relative drift of a worker's clock: 2% by the platform's specification, plus a margin for
   /// rounding.
   double clock_slack{0.025};
-  /// What a message may be under way beyond the clock's slack before it counts as sent too late.
+  /// Time that a message may take, beyond `clock_slack`, before it counts as too late.
   duration lapse_margin{std::chrono::milliseconds{200}};
-  /// After a change of leader: how long the former one may have gone on sending before it noticed
-  /// that it was cut off.
+  /// After a leader change: how long the former leader may have continued to send before it noticed
+  /// that it was partitioned.
   duration old_leader_silence{std::chrono::milliseconds{2'000}};
-  /// Longest that a worker takes to end a run on order; from the platform's settings.
+  /// Max time that a worker takes to stop a run; from the platform's settings.
   duration stop_timeout{std::chrono::milliseconds{900}};
-  /// What a run that resumes from a checkpoint takes before it goes on; from the platform's
-  /// settings.
+  /// Time that a run takes to restore a checkpoint; from the platform's settings.
   duration restore{std::chrono::milliseconds{600}};
-  /// How long an ended job is still known to callers: 120 s are promised, 30 s are margin.
+  /// Retention period of ended jobs: callers are promised 120 s, plus a margin of 30 s.
   duration keep_ended{std::chrono::seconds{150}};
-  /// An occurrence starts so long after its due time, so that clocks that differ by a few
-  /// milliseconds never make it early.
+  /// Delay of an occurrence after its due time, so that it never starts early where clocks differ
+  /// by a few milliseconds.
   duration due_margin{std::chrono::milliseconds{30}};
-  /// Share of every worker that only the most urgent class may fill. A burst that doubles the
-  /// urgent work finds room while the rest drains away, at the price of that share of packing.
+  /// Share of every worker that only urgent work may use. A burst that doubles the urgent load then
+  /// finds room while other runs end, at the cost of that share of utilization.
   double urgent_reserve{0.10};
-  /// A ticket with less life left than this is asked for anew: the start must still arrive in time.
+  /// A ticket with less remaining validity is requested anew, since the start order must arrive
+  /// before the ticket expires.
   duration ticket_margin{std::chrono::milliseconds{150}};
-  /// Most workers named in one request for advice; more cost the caller's time.
+  /// Max workers named in one advice query; each one makes the answer slower.
   std::size_t most_names{30};
-  /// Tries of an order whose answers are lost before the run is stopped and moved.
+  /// Attempts to deliver a start order without an answer before the run is stopped and moved.
   std::uint32_t start_tries{3};
-  /// Watches in a row that bring no answer before a worker counts as silent: one alone is mostly a
-  /// lost answer, and is followed by another watch at once.
+  /// Consecutive unanswered watches before a worker counts as silent. A single one is usually a
+  /// lost answer, and is retried immediately.
   std::uint32_t silent_after{2};
-  /// Between two sendings of an order to stop that was not answered.
+  /// Retry interval of an unanswered stop order.
   duration stop_retry{std::chrono::milliseconds{400}};
-  /// Two failures in a row make a worker suspect: it is left alone for this long, doubling.
+  /// Quarantine of a worker after `failures_to_quarantine` consecutive failures; doubles each time.
   duration quarantine{std::chrono::seconds{3}};
   duration longest_quarantine{std::chrono::seconds{8}};
   std::uint32_t failures_to_quarantine{2};
-  /// A worker that answers unwell or refuses for want of room is left alone for so long.
+  /// Pause for a worker that reports bad health or refuses a start for lack of room.
   duration refusal_pause{std::chrono::milliseconds{700}};
-  /// A run whose progress stands still for longer than this, and than half its estimate, hangs.
+  /// A run without progress for longer than this and than half its estimate counts as stuck.
   duration stuck_after{std::chrono::milliseconds{2'500}};
-  /// A run that works so many times slower than its siblings do elsewhere is taken for slow. Twice
-  /// what workers and tasks differ by on a sound cell: 1.25 / 0.8 by worker, 1.3 by task.
+  /// A run that is slower than its siblings elsewhere by this factor counts as slow. On a
+  /// healthy cell run times differ by up to 1.25 / 0.8 between workers and 1.3 between tasks; the
+  /// factor is well above both.
   double slow_factor{2.5};
-  /// A slow run is moved where it would go on for so many times longer than a new start elsewhere
-  /// takes, the stop included.
+  /// A slow run is moved if its remaining time exceeds the time of a new start elsewhere, including
+  /// the stop, by this factor.
   double rescue_gain{1.3};
-  /// At most this share of all runs, and at least `least_rescues`, is stopped as slow at a time:
-  /// where everything is slow, moving helps nobody.
+  /// Max share of all runs that are being stopped as slow at a time, but at least `least_rescues`
+  /// runs: if every worker is slow, moving runs gains nothing.
   double rescue_share{0.05};
   std::size_t least_rescues{4};
-  /// Unanswered advice is asked for again after this.
+  /// Retry interval of an unanswered advice query.
   duration advice_retry{std::chrono::milliseconds{250}};
-  /// A step that found no place among the workers that it may run on for so long reserves some.
-  /// Most find one sooner.
+  /// A step reserves workers once it has waited this long for room on those that it may run on.
+  /// Most steps find room sooner.
   duration reserve_after{std::chrono::milliseconds{1'000}};
-  /// Only where no more than this share of a pool's workers may run it.
+  /// A step reserves workers only if at most this share of its pool may run it.
   double few_workers{0.5};
-  /// Reservations are looked at again so often, and last twice as long.
+  /// Review interval of reservations; they expire after twice as long.
   duration reserve_every{std::chrono::milliseconds{200}};
-  /// At most this share of a pool's workers is reserved at a time; twice that gained nothing.
+  /// Max share of a pool's workers that is reserved at a time. Twice that brought no benefit.
   double reserved_most{0.34};
-  /// A question that isn't answered so long after what it costs is taken for lost and asked again.
-  /// Twice the 1.7 s that the slowest of 1,600 answers took on a replayed day.
+  /// Timeout of an advice query beyond its cost; after it the query counts as lost and is retried.
+  /// The slowest of 1,600 answers of a replayed day took 1.7 s; this is about twice that.
   duration advice_patience{std::chrono::milliseconds{4'000}};
-  /// Share of the slack of a job's objective that waiting may use up before a job is refused.
+  /// Share of the slack in a job's objective that the expected waiting time may use; a job that
+  /// would wait longer is refused.
   double admission_slack{0.9};
-  /// For each of its steps a job waits so often until the leader has done what came before: its
-  /// record, advice, starts, ends, the next record.
+  /// Number of times per step that a job waits for the leader's event loop: for its record, advice,
+  /// starts, ends and the next record.
   double turns_per_step{8};
 
   friend bool operator==(const scheduler_settings&, const scheduler_settings&) = default;
--- a/src/rosearch/sched/worker_facts.h
+++ b/src/rosearch/sched/worker_facts.h
@@ -12,20 +12,20 @@
 
 namespace rosearch::sched {
 
-/// What a worker says of itself in the platform's registry.
+/// A worker's entry in the platform's registry.
 struct worker_facts {
-  std::string id;       ///< names one life of a worker; a restarted one has another
+  std::string id;       ///< identifies one incarnation of a worker; a restart gets a new id
   std::string address;  ///< host:port
   std::string pool;
   std::string failure_domain;
-  std::string kind;  ///< workers of one kind are about equally fast
+  std::string kind;  ///< workers of the same kind have similar speed
   std::string rack;
-  std::vector<std::string> labels;  ///< all, `kind` and `rack` among them
+  std::vector<std::string> labels;  ///< all labels, including `kind` and `rack`
   resources capacity{};
-  bool draining{false};        ///< it leaves: nothing new may start there
-  duration least_time_left{};  ///< while draining: it stays at least so long
+  bool draining{false};        ///< it is leaving: nothing new may start there
+  duration least_time_left{};  ///< while draining: min time until it leaves
 
-  /// @return whether it carries a label; the empty one is carried by all.
+  /// @return whether the worker has a label; true for the empty label.
   [[nodiscard]] bool HasLabel(const std::string& label) const {
     return label.empty() || std::ranges::find(labels, label) != labels.end();
   }
@@ -33,32 +33,32 @@
   friend bool operator==(const worker_facts&, const worker_facts&) = default;
 };
 
-/// How a run ended, in the worker's own words.
+/// How a run ended, as reported by the worker.
 enum class end_kind : std::uint8_t {
   kDone,
-  kFailed,   ///< by its own fault or the worker's
-  kStopped,  ///< on our order
-  kLapsed,   ///< the worker's lease ran out
+  kFailed,   ///< through a fault of the task or of the worker
+  kStopped,  ///< on the scheduler's order
+  kLapsed,   ///< the worker's lease expired
   kBroken,   ///< another member of its gang ended
-  kAlone,    ///< the other members of its gang didn't come
-  kLost,     ///< concluded by us: the worker's life is over, or its lease certainly lapsed
+  kAlone,    ///< the other members of its gang didn't start
+  kLost,  ///< concluded by the scheduler: the worker restarted, or its lease has certainly expired
 };
 
-/// A run that is under way at a worker.
+/// An active run in a worker's report.
 struct running_row {
   std::string task;
   std::uint32_t run{0};
-  std::string checkpoint;    ///< newest; empty: none
-  std::uint32_t percent{0};  ///< of its work done; of a service 100 once it serves
+  std::string checkpoint;    ///< newest checkpoint; empty: none
+  std::uint32_t percent{0};  ///< progress; of a service 100 once it serves
   std::uint32_t load{
       0};  ///< service: tail of response times in ms; else thousandths of a processor
 
   friend bool operator==(const running_row&, const running_row&) = default;
 };
 
-/// A run that ended at a worker and whose end we haven't acknowledged there.
+/// An ended run in a worker's report whose end hasn't been acknowledged yet.
 struct ended_row {
-  std::uint64_t number{0};  ///< rises with each end in one life of the worker, from 1
+  std::uint64_t number{0};  ///< counts the ends of one worker incarnation, from 1
   std::string task;
   std::uint32_t run{0};
   end_kind how{end_kind::kLost};
@@ -67,7 +67,7 @@
   friend bool operator==(const ended_row&, const ended_row&) = default;
 };
 
-/// A worker's answer to a watch: all that runs, and ends from the first unacknowledged one on.
+/// A worker's answer to a watch: all active runs, and all unacknowledged ends in order.
 struct worker_report {
   std::vector<running_row> running;
   std::vector<ended_row> ended;
@@ -75,19 +75,19 @@
   friend bool operator==(const worker_report&, const worker_report&) = default;
 };
 
-/// How an order to start a run was answered.
+/// Result of a start order.
 enum class start_outcome : std::uint8_t {
-  kStarted,     ///< it runs, or ran already
+  kStarted,     ///< it runs, or had already been started
   kNotSent,     ///< certainly never reached the worker
   kNoRoom,      ///< refused: would exceed the worker's capacity
-  kBadTicket,   ///< refused: the advice has expired or doesn't hold
-  kStaleFence,  ///< refused: the worker obeys a newer leader
-  kStaleRun,    ///< refused: that run or a newer one was there before
-  kTooLate,     ///< refused: the lease offered was over on arrival
-  kUnhealthy,   ///< refused: the worker is unwell
-  kRejected,    ///< refused for good
-  kOtherLife,   ///< another life of the worker answered: the one meant is over
-  kUnknown,     ///< no answer: it may run, now or seconds later
+  kBadTicket,   ///< refused: the ticket has expired or isn't valid
+  kStaleFence,  ///< refused: the worker has accepted a newer leader's fence
+  kStaleRun,    ///< refused: the worker has seen that run or a newer one
+  kTooLate,     ///< refused: the lease in the order had expired on arrival
+  kUnhealthy,   ///< refused: the worker reports bad health
+  kRejected,    ///< refused permanently
+  kOtherLife,   ///< another incarnation of the worker answered: the addressed one is gone
+  kUnknown,     ///< no answer: it may be running, or start seconds later
 };
 
 }  // namespace rosearch::sched
