--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -242,7 +242,7 @@
 
   /// @return whether there are records to store.
   [[nodiscard]] bool HasRecords() const;
-  /// @return whether a caller or worker waits for one of the records to store.
+  /// @return whether a caller waits for one of the records to store.
   [[nodiscard]] bool HasUrgentRecords() const { return urgent_; }
   /// Returns the next batch of records to store.
   [[nodiscard]] state_batch TakeBatch();
--- a/src/rosearch/sched/scheduler_settings.h
+++ b/src/rosearch/sched/scheduler_settings.h
@@ -63,9 +63,8 @@
   duration refusal_pause{std::chrono::milliseconds{700}};
   /// A run without progress for longer than this and than half its estimate counts as stuck.
   duration stuck_after{std::chrono::milliseconds{2'500}};
-  /// A run that is slower than its siblings elsewhere by this factor counts as slow. On a
-  /// healthy cell run times differ by up to 1.25 / 0.8 between workers and 1.3 between tasks; the
-  /// factor is well above both.
+  /// A run that is slower than its siblings elsewhere by this factor counts as slow. The factor is
+  /// well above the differences on a healthy cell: 1.25 / 0.8 between workers, 1.3 between tasks.
   double slow_factor{2.5};
   /// A slow run is moved if its remaining time exceeds the time of a new start elsewhere, including
   /// the stop, by this factor.
