--- a/src/rosearch/sched/job_spec.h
+++ b/src/rosearch/sched/job_spec.h
@@ -44,8 +44,7 @@
   std::string pool;     ///< pool whose workers run it
   std::string payload;  ///< passed unchanged to every run
   std::vector<step_spec> steps;
-  std::uint32_t occurrences{
-      0};  ///< number of scheduled repetitions of all steps; 0: once, immediately
+  std::uint32_t occurrences{0};   ///< repetitions on a timetable; 0: runs once, immediately
   std::int64_t first_due_ms{0};   ///< Unix time in ms
   std::int64_t interval_ms{0};    ///< between occurrences
   std::uint32_t priority{0};      ///< 0 is the highest
--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -100,9 +100,8 @@
   std::size_t workers_live{0};
   std::size_t workers{0};
   std::size_t leases_ending{0};  ///< live workers whose lease ends within `kLeaseEnding`
-  std::size_t unsettled{
-      0};  ///< workers that may run tasks of an earlier leader and haven't answered
-  duration oldest_report{};             ///< max age of the newest report over all live workers
+  std::size_t unsettled{0};      ///< see `scheduler::OldRunsSettled`: workers without an answer yet
+  duration oldest_report{};      ///< max age of the newest report over all live workers
   std::uint64_t placement_attempts{0};  ///< attempts to place a waiting step, since the start
   std::uint64_t worker_looks{0};        ///< workers considered for a waiting step, since the start
 
@@ -115,8 +114,7 @@
 /// What a step waits for, in the terms of docs/OPERATIONS.md, and why workers can't run it.
 struct wait_view {
   std::string_view what{};
-  std::size_t unsettled{
-      0};  ///< workers that may run tasks of an earlier leader and haven't answered
+  std::size_t unsettled{0};    ///< see `scheduler::OldRunsSettled`: workers without an answer yet
   std::size_t out_of_use{0};   ///< silent, leaving, gone or not yet recorded
   std::size_t left_alone{0};   ///< quarantined after failures
   std::size_t unfit{0};        ///< excluded by label, pool or per-worker limit
@@ -191,8 +189,7 @@
   /// unknown until the worker answers or its lease has certainly expired.
   void FinishRestore(const instant& now);
   /// @return whether every worker of the former leader has answered or its lease has expired. Until
-  ///         then an old task starts only if advice excludes that it runs at a worker which
-  ///         hasn't.
+  ///         then an old task starts only if advice excludes all workers that haven't answered.
   [[nodiscard]] bool OldRunsSettled() const { return unsettled_.empty(); }
 
   // Configuration.
@@ -248,8 +245,8 @@
   [[nodiscard]] state_batch TakeBatch();
   /// Records that a batch is stored.
   void OnStored(std::uint64_t number, const instant& now);
-  /// Records that a batch is certainly not stored. New jobs in it are refused; its other records
-  /// are kept for the next batch.
+  /// Records that a batch is certainly not stored. New jobs in it are refused permanently; its
+  /// other records are kept for the next batch.
   void OnNotStored(std::uint64_t number);
   /// Refuses every new job that is in no batch yet. Called while the store is unavailable, so that
   /// callers learn it immediately and can retry in time.
--- a/src/rosearch/sched/worker_facts.h
+++ b/src/rosearch/sched/worker_facts.h
@@ -50,8 +50,8 @@
   std::uint32_t run{0};
   std::string checkpoint;    ///< newest checkpoint; empty: none
   std::uint32_t percent{0};  ///< progress; of a service 100 once it serves
-  std::uint32_t load{
-      0};  ///< service: tail of response times in ms; else thousandths of a processor
+  /// Service: tail response time in ms; other runs: processors, in thousandths.
+  std::uint32_t load{0};
 
   friend bool operator==(const running_row&, const running_row&) = default;
 };
