--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -256,7 +256,7 @@
   /// @return results for callers that became available since the last call.
   [[nodiscard]] std::vector<settled_job> TakeSettled() { return std::exchange(settled_, {}); }
   /// @return workers whose ends were stored since the last call; their next watch acknowledges
-  /// them.
+  ///         them.
   [[nodiscard]] std::vector<std::string> TakeAcked() { return std::exchange(acked_, {}); }
 
   // Time.
@@ -414,9 +414,9 @@
   void PlaceTasks(step_state& step, const instant& now);
   [[nodiscard]] bool MayRun(const step_state& step, const task_state* task,
                             const worker_state& worker, const instant& now) const;
-  /// @return the share of each worker of a pool that is reserved for urgent work; zero if no queue
-  ///         of the pool is urgent: there a reserve would leave room for only one instead of two
-  ///         tasks per worker where a task needs half of its processors.
+  /// @return the share of each worker of a pool that is reserved for urgent work. Zero if no queue
+  ///         of the pool is urgent: a reserve would then only waste room, such as every second
+  ///         place for tasks that need half of a worker's processors.
   [[nodiscard]] double Reserve(const std::string& pool) const;
   /// @return whether all workers are considered for a step, because its pool is small or the best
   ///         placement depends on more than processor utilization.
@@ -432,8 +432,7 @@
   // scheduler_advice.cc
   /// Workers that an advice query may name; each list has the best first.
   struct advice_candidates {
-    std::vector<worker_state*>
-        allowed;  ///< with room; allowed by advice, but their tickets have expired
+    std::vector<worker_state*> allowed;  ///< with room; allowed, but their tickets have expired
     std::vector<worker_state*> unknown;  ///< with room; no advice about them yet
     std::vector<worker_state*> full;     ///< without room; no advice about them yet
   };
@@ -465,7 +464,7 @@
   [[nodiscard]] duration UntilRoom(const step_state& step, const worker_state& worker,
                                    const instant& now) const;
   /// @return whether a worker reserved for a step will have room before an advice query is
-  /// answered.
+  ///         answered.
   [[nodiscard]] bool SoonFree(const step_state& step, const worker_state& worker,
                               const instant& now) const;
   [[nodiscard]] bool MayPreempt(const step_state& step, const live_run& run) const;
@@ -500,16 +499,14 @@
   std::set<std::string> urgent_pools_;  ///< pools with an urgent queue
   std::unordered_map<std::string, std::unique_ptr<job_state>> jobs_;
   std::unordered_map<std::string, ended_job> ended_;
-  std::map<std::string, std::unique_ptr<worker_state>>
-      workers_;                                  ///< ordered, for deterministic iteration
-  fill_index fill_;                              ///< indexes `workers_`
+  std::map<std::string, std::unique_ptr<worker_state>> workers_;  ///< in a fixed order
+  fill_index fill_;                                               ///< indexes `workers_`
   std::map<std::string, time_point> unsettled_;  ///< see `OldRunsSettled`; expiry of each lease
   std::vector<step_state*> open_steps_;
   std::vector<step_state*> waiting_steps_;       ///< open steps that may have tasks to start
   std::map<std::string, pool_load> loads_;       ///< by pool
   std::map<std::string, double> mean_slack_ms_;  ///< by queue: mean time that its jobs can wait
-  std::map<std::string, double>
-      advised_share_;  ///< by queue: share of named workers that were allowed
+  std::map<std::string, double> advised_share_;  ///< by queue: share of named workers allowed
   std::vector<order> orders_;
   std::vector<settled_job> settled_;
   std::vector<job_timing> timings_;
