--- a/test/rosearch/sched/cell_world.cc
+++ b/test/rosearch/sched/cell_world.cc
@@ -9,24 +9,24 @@
 namespace rosearch::sched {
 namespace {
 
-constexpr duration kHop = std::chrono::microseconds{700};
-constexpr duration kPatience = std::chrono::milliseconds{400};
+constexpr duration kNetworkDelay = std::chrono::microseconds{700};
+constexpr duration kAnswerTimeout = std::chrono::milliseconds{400};
 constexpr duration kMaxLease = std::chrono::seconds{6};
-constexpr duration kTick = std::chrono::milliseconds{50};
-constexpr duration kPass = std::chrono::milliseconds{4};
-constexpr duration kStoreAnswer = std::chrono::milliseconds{5};
-constexpr duration kStopTime = std::chrono::milliseconds{300};
-constexpr std::uint32_t kAttempts = 4;
+constexpr duration kTickInterval = std::chrono::milliseconds{50};
+constexpr duration kMinPassInterval = std::chrono::milliseconds{4};
+constexpr duration kStoreAnswerDelay = std::chrono::milliseconds{5};
+constexpr duration kStopDelay = std::chrono::milliseconds{300};
+constexpr std::uint32_t kMaxAttempts = 4;
 
 cell_configuration Configuration(const world_shape& shape) {
   cell_configuration made;
   made.version = 1;
-  made.queues = {{"quick", "cell.test", "/jobs/", std::string{cell_world::kPool}, 0, kAttempts, 1.5,
-                  std::chrono::milliseconds{250},
+  made.queues = {{"quick", "cell.test", "/jobs/", std::string{cell_world::kPool}, 0, kMaxAttempts,
+                  1.5, std::chrono::milliseconds{250},
                   advice_cost{std::chrono::milliseconds{18}, std::chrono::microseconds{260},
                               std::chrono::milliseconds{2'500}}},
-                 {"long", "cell.test", "/plans/", std::string{cell_world::kPool}, 2, kAttempts, 2.2,
-                  std::chrono::milliseconds{1'200}, std::nullopt}};
+                 {"long", "cell.test", "/plans/", std::string{cell_world::kPool}, 2, kMaxAttempts,
+                  2.2, std::chrono::milliseconds{1'200}, std::nullopt}};
   made.pools = {{std::string{cell_world::kPool}, false, false}};
   if (shape.long_advice != advice_cost{}) {
     made.queues[1].advice = shape.long_advice;
@@ -39,8 +39,8 @@
 
 std::string JobOf(const std::string& task) { return task.substr(0, task.find('.')); }
 
-/// @return ends that complete a job: one end of a gang stands for all.
-std::size_t EndsOf(const job_spec& job) {
+/// @return task ends that complete a job. A gang counts as one end.
+std::size_t CompletingEnds(const job_spec& job) {
   std::size_t ends = 0;
   for (const auto& step : job.steps) {
     ends += step.gang ? 1 : step.count;
@@ -64,7 +64,7 @@
       advice_free_at_(shape.advice_processes),
       now_{std::chrono::seconds{100}} {
   settings_.max_lease = kMaxLease;
-  constexpr std::int64_t kSizes[]{16'000, 16'000, 8'000, 32'000};
+  constexpr std::int64_t kProcessorsMilli[]{16'000, 16'000, 8'000, 32'000};
   for (std::size_t at = 0; at < workers; ++at) {
     fake_worker made;
     made.facts.id = "w" + std::to_string(next_worker_++);
@@ -72,7 +72,7 @@
     made.facts.pool = kPool;
     made.facts.rack = "r" + std::to_string(at / 4);
     made.facts.labels = {"a", made.facts.rack};
-    made.facts.capacity = {kSizes[at % 4], kSizes[at % 4] * 4, 0};
+    made.facts.capacity = {kProcessorsMilli[at % 4], kProcessorsMilli[at % 4] * 4, 0};
     if (shape.worker != resources{}) {
       made.facts.capacity = shape.worker;
     }
@@ -103,7 +103,7 @@
   return found == workers_.end() ? nullptr : &found->second;
 }
 
-// Leading.
+// Leader.
 
 void cell_world::Lead() {
   ++epoch_;
@@ -112,7 +112,7 @@
   leader_ = std::make_unique<scheduler>(settings_, epoch_, log_);
   for (const auto& [key, value] : store_) {
     if (!leader_->Restore({key, value}, Now())) {
-      Break("record unreadable: " + key);
+      Break("unreadable record " + key);
     }
   }
   leader_->Configure(Configuration(shape_), Now());
@@ -120,7 +120,7 @@
     leader_->ObserveWorker(worker.facts, Now());
   }
   leader_->FinishRestore(Now());
-  TickAfter(kHop);
+  TickAfter(kNetworkDelay);
 }
 
 void cell_world::TickAfter(duration pause) {
@@ -139,7 +139,7 @@
   leader_->NoteDelay(now_ - due);
   leader_->Tick(Now());
   Pump();
-  TickAfter(kTick);
+  TickAfter(kTickInterval);
 }
 
 void cell_world::ReplaceLeader() {
@@ -165,13 +165,13 @@
 void cell_world::Work() {
   const auto what = std::move(inbox_.front());
   inbox_.pop_front();
-  const auto looks_before = leader_->PlacementAttempts();
+  const auto attempts_before = leader_->PlacementAttempts();
   const auto orders_before = orders_;
   what();
-  const auto looks = static_cast<int>(leader_->PlacementAttempts() - looks_before);
+  const auto attempts = static_cast<int>(leader_->PlacementAttempts() - attempts_before);
   const auto orders = static_cast<int>(orders_ - orders_before);
   const auto& cost = shape_.cost;
-  const auto took = cost.message + cost.attempt * looks + cost.order * orders;
+  const auto took = cost.message + cost.attempt * attempts + cost.order * orders;
   busy_until_ = now_ + std::chrono::duration_cast<duration>(took / processor_);
   working_ = false;
   WorkSoon();
@@ -185,7 +185,7 @@
   if (std::exchange(pass_pending_, true)) {
     return;
   }
-  At(std::max(now_, passed_at_ + std::max(kPass, leader_->PassPause())), [this] {
+  At(std::max(now_, passed_at_ + std::max(kMinPassInterval, leader_->PassPause())), [this] {
     ToLeader([this] {
       pass_pending_ = false;
       passed_at_ = now_;
@@ -242,13 +242,13 @@
       }
     }
   }
-  const auto patience = silent || dropped ? kPatience : kStoreAnswer;
-  After(patience, [this, epoch, batch, refused, silent, dropped, may_be_stored] {
+  const auto answer_delay = silent || dropped ? kAnswerTimeout : kStoreAnswerDelay;
+  After(answer_delay, [this, epoch, batch, refused, silent, dropped, may_be_stored] {
     if (epoch != epoch_) {
       return;
     }
     if (silent || dropped || (refused && may_be_stored)) {
-      // The same bytes again, until the store says what became of them.
+      // The append may have been stored: retry with the same bytes until the outcome is known.
       SendBatch(epoch, batch, may_be_stored || silent || dropped);
       return;
     }
@@ -324,31 +324,31 @@
     used = used + run.charged;
   }
   if (!used.FitsIn(worker.facts.capacity)) {
-    Break("overcommitted " + worker.facts.id + " by " + order.task);
+    Break("worker " + worker.facts.id + " is overcommitted by task " + order.task);
   }
   for (const auto& [id, other] : workers_) {
     if (other.running.contains(order.task) && !step.may_duplicate) {
-      Break("twice at a time " + order.task);
+      Break("task runs twice at the same time: " + order.task);
     }
   }
   if (job.done_noted.contains(order.task)) {
-    Break("again after its end was noted " + order.task);
+    Break("task starts again after its success was acknowledged: " + order.task);
   }
   if (job.refused && !job.accepted) {
-    Break("refused, but runs " + order.task);
+    Break("task of a refused job starts: " + order.task);
   }
-  if (job.failed[order.task].size() >= kAttempts && !step.service) {
-    Break("too many attempts " + order.task);
+  if (job.failed[order.task].size() >= kMaxAttempts && !step.service) {
+    Break("task exceeds its attempts: " + order.task);
   }
   for (const auto before : step.after) {
     for (std::uint32_t at = 0; at < job.spec.steps[before].count; ++at) {
       if (!job.done.contains(task_name{name->job, name->occurrence, before, at}.Text())) {
-        Break("too early " + order.task);
+        Break("task starts before its preceding steps are done: " + order.task);
       }
     }
   }
   if (job.cancelled && now_ > *job.cancelled + std::chrono::seconds{3}) {
-    Break("cancelled, but starts " + order.task);
+    Break("task starts over 3 s after its job was cancelled: " + order.task);
   }
 }
 
@@ -401,10 +401,11 @@
   highest = std::max(highest, order.run);
   const auto found = worker->running.find(order.task);
   if (found != worker->running.end() && found->second.run <= order.run) {
-    After(kStopTime, [this, id = order.worker, task = order.task, run = order.run] {
-      auto* const there = Find(id);
-      if (there != nullptr && there->running.contains(task) && there->running[task].run == run) {
-        EndOf(*there, task, end_kind::kStopped);
+    After(kStopDelay, [this, id = order.worker, task = order.task, run = order.run] {
+      auto* const current = Find(id);
+      if (current != nullptr && current->running.contains(task) &&
+          current->running[task].run == run) {
+        EndOf(*current, task, end_kind::kStopped);
       }
     });
   }
@@ -418,24 +419,25 @@
 void cell_world::CarryOut(const start_order& decided) {
   const bool late = random_.Chance(faults_.order_late);
   const bool lost = random_.Chance(faults_.answer_lost);
-  After(late ? std::chrono::milliseconds{random_.Between(2'000, 12'000)} : kHop,
+  After(late ? std::chrono::milliseconds{random_.Between(2'000, 12'000)} : kNetworkDelay,
         [this, decided, late, lost, fence = epoch_, lease_end = now_ + kMaxLease] {
           auto* const worker = Find(decided.worker);
           const bool cut = worker != nullptr && !Reachable(*worker);
           const auto outcome = cut ? start_outcome::kUnknown : Apply(decided, fence, lease_end);
           const bool answered = !cut && !late && !lost;
-          After(answered ? kHop : kPatience, [this, decided, outcome, answered, late, fence] {
-            ToLeader([this, decided, outcome, answered, late, fence] {
-              if (fence == epoch_ && !late) {
-                leader_->OnStartAnswer(decided, answered ? outcome : start_outcome::kUnknown,
-                                       Now());
-                Pump();
-              }
-            });
-          });
+          After(answered ? kNetworkDelay : kAnswerTimeout,
+                [this, decided, outcome, answered, late, fence] {
+                  ToLeader([this, decided, outcome, answered, late, fence] {
+                    if (fence == epoch_ && !late) {
+                      leader_->OnStartAnswer(decided, answered ? outcome : start_outcome::kUnknown,
+                                             Now());
+                      Pump();
+                    }
+                  });
+                });
         });
   if (late) {
-    After(kPatience, [this, decided, fence = epoch_] {
+    After(kAnswerTimeout, [this, decided, fence = epoch_] {
       ToLeader([this, decided, fence] {
         if (fence == epoch_) {
           leader_->OnStartAnswer(decided, start_outcome::kUnknown, Now());
@@ -448,14 +450,14 @@
 
 void cell_world::CarryOut(const stop_order& decided) {
   const bool lost = random_.Chance(faults_.answer_lost);
-  After(kHop, [this, decided, lost, fence = epoch_] {
+  After(kNetworkDelay, [this, decided, lost, fence = epoch_] {
     auto* const worker = Find(decided.worker);
     const bool cut = worker != nullptr && !Reachable(*worker);
-    const bool heard = !cut && Apply(decided, fence) && !lost;
-    After(heard ? kHop : kPatience, [this, decided, heard, fence] {
-      ToLeader([this, decided, heard, fence] {
+    const bool answered = !cut && Apply(decided, fence) && !lost;
+    After(answered ? kNetworkDelay : kAnswerTimeout, [this, decided, answered, fence] {
+      ToLeader([this, decided, answered, fence] {
         if (fence == epoch_) {
-          leader_->OnStopAnswer(decided, heard, Now());
+          leader_->OnStopAnswer(decided, answered, Now());
           Pump();
         }
       });
@@ -464,7 +466,7 @@
 }
 
 void cell_world::CarryOut(const advice_query& decided) {
-  // Nothing is drawn where none are lost: the days of the other faults stay as they are.
+  // Draws no random number while the fault is off, so runs of other faults keep their sequence.
   if (faults_.advice_lost > 0 && random_.Chance(faults_.advice_lost)) {
     return;
   }
@@ -503,7 +505,7 @@
     watched_.erase(id);
     return;
   }
-  After(kHop, [this, id, epoch, watch = *watch, sent_at = now_] {
+  After(kNetworkDelay, [this, id, epoch, watch = *watch, sent_at = now_] {
     Answer(id, epoch, watch, sent_at, now_ + watch.wait);
   });
 }
@@ -521,14 +523,15 @@
     const auto failure = worker == nullptr       ? watch_failure::kOtherLife
                          : epoch < worker->fence ? watch_failure::kStaleFence
                                                  : watch_failure::kNoAnswer;
-    After(failure == watch_failure::kNoAnswer ? kPatience : kHop, [this, id, epoch, failure, next] {
-      ToLeader([this, id, epoch, failure, next] {
-        if (epoch == epoch_) {
-          leader_->OnWatchFailed(id, failure, Now());
-          next();
-        }
-      });
-    });
+    After(failure == watch_failure::kNoAnswer ? kAnswerTimeout : kNetworkDelay,
+          [this, id, epoch, failure, next] {
+            ToLeader([this, id, epoch, failure, next] {
+              if (epoch == epoch_) {
+                leader_->OnWatchFailed(id, failure, Now());
+                next();
+              }
+            });
+          });
     return;
   }
   worker->fence = epoch;
@@ -553,7 +556,7 @@
     const auto percent = service ? 100U : static_cast<std::uint32_t>(part * 99);
     report.running.push_back({task, run.run, run.checkpoint, percent, 0});
   }
-  After(kHop, [this, id, epoch, report, sent_at, next] {
+  After(kNetworkDelay, [this, id, epoch, report, sent_at, next] {
     ToLeader([this, id, epoch, report, sent_at, next] {
       if (epoch == epoch_) {
         leader_->OnReport(id, sent_at, report, Now());
@@ -563,7 +566,7 @@
   });
 }
 
-// Trouble, callers, time.
+// Faults, callers, virtual time.
 
 void cell_world::SickenWorker(std::size_t number) {
   std::next(workers_.begin(), static_cast<std::ptrdiff_t>(number))->second.sick = true;
@@ -590,11 +593,11 @@
     }
   }
   for (const auto& id : dying) {
-    auto reborn = workers_[id];
+    auto former = workers_[id];
     workers_.erase(id);
     leader_->UnlistWorker(id, Now());
     fake_worker made;
-    made.facts = reborn.facts;
+    made.facts = former.facts;
     made.facts.id = "w" + std::to_string(next_worker_++);
     leader_->ObserveWorker(made.facts, Now());
     workers_[made.facts.id] = std::move(made);
@@ -614,7 +617,7 @@
   job.priority = job.queue == kLongQueue ? kLongPriority : 0;
   job.pool = kPool;
   job.payload = "payload";
-  job.max_attempts = kAttempts;
+  job.max_attempts = kMaxAttempts;
   job.accepted_ms = Now().wall_ms;
   job.objective = LongestChain(job.steps) * 3 / 2 + std::chrono::milliseconds{250};
   auto& known = jobs_[job.id];
@@ -646,11 +649,11 @@
   now_ = end;
   for (const auto& [id, job] : jobs_) {
     const auto phase = leader_->Phase(id, job.spec.queue);
-    if (phase == job_phase::kCompleted && job.done.size() < EndsOf(job.spec)) {
-      Break("shown as completed too early " + id);
+    if (phase == job_phase::kCompleted && job.done.size() < CompletingEnds(job.spec)) {
+      Break("job reported as completed before all its tasks ended: " + id);
     }
     if (job.accepted && !phase) {
-      Break("accepted and unknown " + id);
+      Break("accepted job is unknown to the leader: " + id);
     }
   }
 }
--- a/test/rosearch/sched/cell_world.h
+++ b/test/rosearch/sched/cell_world.h
@@ -17,7 +17,7 @@
 
 namespace rosearch::sched {
 
-/// Keeps log lines for tests that look at them.
+/// Event sink that records log lines for assertions.
 class kept_log final : public event_sink {
  public:
   void Write(const event_line& line) override { lines.push_back(line.text()); }
@@ -26,71 +26,72 @@
   std::vector<std::string> lines;
 };
 
-/// What goes wrong in a world, each as a probability or a switch.
+/// Probabilities of the faults that a simulated cell injects; 0 disables a fault.
 struct world_faults {
-  double answer_lost{0};       ///< an order is carried out, its answer is lost
-  double order_late{0};        ///< an order gets no answer and is carried out 2 to 12 s later
-  double run_fails{0};         ///< a run ends failed
-  double store_refuses{0};     ///< an append is refused
-  double store_silent{0};      ///< an append is stored, its answer is lost
-  double store_drops{0};       ///< an append is neither stored nor answered
-  double advice_lost{0};       ///< a question for advice is never answered
-  double worker_dies{0};       ///< each second, for each worker: it restarts with another id
-  double worker_cut{0};        ///< each second, for each worker: unreachable for 1 to 9 s
-  double leader_dies{0};       ///< each second
-  double old_leader_talks{0};  ///< an order of a former leader arrives seconds later
+  double answer_lost{0};       ///< per order: executed, but the answer is lost
+  double order_late{0};        ///< per order: not answered, executed 2 to 12 s later
+  double run_fails{0};         ///< per run: ends as failed
+  double store_refuses{0};     ///< per append: refused
+  double store_silent{0};      ///< per append: stored, but the answer is lost
+  double store_drops{0};       ///< per append: neither stored nor answered
+  double advice_lost{0};       ///< per advice query: never answered
+  double worker_dies{0};       ///< per worker and second: restarts under a new id
+  double worker_cut{0};        ///< per worker and second: unreachable for 1 to 9 s
+  double leader_dies{0};       ///< per second: replaced by a new leader
+  double old_leader_talks{0};  ///< per order of a former leader: arrives seconds late; unused
 };
 
-/// What deciding costs a leader with a whole processor; zero: nothing.
+/// Processor time that a leader with a whole processor spends on its work; 0 means free.
 struct leader_cost {
-  duration message{};  ///< to take in one answer, report or request
-  duration attempt{};  ///< to try to place a waiting step
-  duration order{};    ///< to give one order
+  duration message{};  ///< per answer, report or request received
+  duration attempt{};  ///< per attempt to place a waiting step
+  duration order{};    ///< per order sent
 
   friend bool operator==(const leader_cost&, const leader_cost&) = default;
 };
 
-/// What a world is made of.
+/// Configuration of a simulated cell.
 struct world_shape {
-  resources worker{};               ///< of each; zero: 8 to 32 processors and no accelerators
-  advice_cost long_advice{};        ///< of the queue of long work; zero: it needs none
-  std::uint32_t allowed_tenths{7};  ///< workers in ten that advice allows
-  std::size_t advice_processes{0};  ///< questions answered at a time; zero: any number
-  bool urgent_queue{true};          ///< urgent work uses the same workers
+  resources worker{};               ///< capacity of each; 0: 8 to 32 processors, no accelerators
+  advice_cost long_advice{};        ///< of the long queue; 0: it needs no advice
+  std::uint32_t allowed_tenths{7};  ///< tenths of the workers that advice allows
+  std::size_t advice_processes{0};  ///< concurrent advice queries; 0: unlimited
+  bool urgent_queue{true};          ///< whether an urgent queue shares the workers
   leader_cost cost{};
 };
 
-/// A cell in virtual time: one scheduler at a time, workers that start whatever they are told, a
-/// store, advice and callers. One seed is one run. Whatever breaks a promise is noted.
+/// Discrete-event simulation of a cell in virtual time: one leading scheduler, workers that start
+/// every run they are ordered to, a store, advice and callers. The same seed gives the same run.
+/// Records each violated invariant instead of failing at once.
 class cell_world {
  public:
   cell_world(std::uint64_t seed, const world_faults& faults, std::size_t workers,
              const scheduler_settings& settings = {}, const world_shape& shape = {});
   ~cell_world();
 
-  /// Hands in a job; the id is made up.
+  /// Submits a job under a generated id.
   /// @return the id.
   std::string Submit(job_spec job);
   void Cancel(const std::string& id);
-  /// Lets time go on.
+  /// Advances virtual time, then checks the phases of all jobs.
   void Run(duration span);
-  /// Ends all faults that were drawn at random from now on.
+  /// Stops injecting random faults. Faults that have already begun run their course.
   void Calm() { faults_ = {}; }
   void SetFaults(const world_faults& faults) { faults_ = faults; }
-  /// The leader is gone, another takes over.
+  /// Replaces the leader by a new one that restores from the store, and clears the log.
   void ReplaceLeader();
   void CutWorker(std::size_t number, duration span);
-  /// From now on the leader has that share of a processor.
+  /// Sets the share of a processor that the leader has from now on.
   void SetProcessor(double share) { processor_ = share; }
-  /// From now on every run that starts at a worker fails at its end.
+  /// Makes every run that starts at the worker from now on end as failed.
   void SickenWorker(std::size_t number);
-  /// From now on every run that starts at a worker takes so many times as long; 1: as ever.
+  /// Multiplies the duration of runs that start at the worker from now on; 1 is normal speed.
   void SlowWorker(std::size_t number, double factor);
 
-  /// @return promises that were broken, in words.
+  /// @return descriptions of the invariants violated so far, with their times.
   [[nodiscard]] const std::vector<std::string>& Broken() const { return broken_; }
   [[nodiscard]] std::optional<job_phase> Phase(const std::string& id) const;
-  /// @return accepted jobs without a service that haven't ended.
+  /// @return ids of accepted jobs that haven't reached a terminal phase; services are left out.
   [[nodiscard]] std::vector<std::string> Unfinished() const;
   [[nodiscard]] std::size_t Starts() const { return starts_; }
   [[nodiscard]] bool Refused(const std::string& job) const { return jobs_.at(job).refused; }
@@ -98,7 +99,7 @@
   [[nodiscard]] scheduler& Leader() { return *leader_; }
   [[nodiscard]] const kept_log& Log() const { return log_; }
   [[nodiscard]] instant Now() const;
-  /// @return when the last task of a job ended done, since the beginning; nothing before.
+  /// @return time from submission to the latest successful task end; nothing before the first.
   [[nodiscard]] std::optional<duration> DoneAfter(const std::string& job) const;
 
   static constexpr std::string_view kQueue = "cell.test/jobs/";
@@ -124,31 +125,32 @@
     std::uint64_t ended_count{0};
     std::map<std::string, fake_run> running;
     std::vector<ended_row> ended;
-    std::map<std::string, std::uint32_t> highest_over;  ///< runs up to it can't begin
+    std::map<std::string, std::uint32_t> highest_over;  ///< per task; runs up to it can't start
   };
   struct known_job {
     job_spec spec;
     bool accepted{false};
     bool refused{false};
     std::optional<time_point> cancelled;
-    std::set<std::string> done;                             ///< tasks, by what really happened
-    std::map<std::string, std::set<std::uint32_t>> failed;  ///< acknowledged failed runs
-    std::set<std::string> done_noted;
+    std::set<std::string> done;                             ///< tasks that succeeded at a worker
+    std::map<std::string, std::set<std::uint32_t>> failed;  ///< acknowledged failed runs per task
+    std::set<std::string> done_noted;  ///< tasks whose success the leader acknowledged
     time_point handed_in{};
     time_point last_done{};
   };
 
   void At(time_point when, std::function<void()> what);
   void After(duration span, std::function<void()> what) { At(now_ + span, std::move(what)); }
-  /// Has the leader take something in, once it has done what came before.
+  /// Queues an action for the leader, which runs it after all earlier ones; runs it at once where
+  /// the leader's work is free.
   void ToLeader(std::function<void()> what);
   void WorkSoon();
   void Work();
-  /// Has the leader decide: at once where that costs nothing, else in passes.
+  /// Runs a scheduling pass: at once where the leader's work is free, else after the pass interval.
   void Pump();
   void Pass();
   void Lead();
-  /// @param due  when the leader should have come to it.
+  /// @param due  when the tick was scheduled to run; a later start counts as leader delay.
   void Tick(std::uint64_t epoch, time_point due);
   void TickAfter(duration pause);
   void StoreSoon();
@@ -176,17 +178,17 @@
   world_faults faults_;
   scheduler_settings settings_;
   world_shape shape_;
-  std::vector<time_point> advice_free_at_;  ///< by process that asks
+  std::vector<time_point> advice_free_at_;  ///< per process that sends advice queries
   kept_log log_;
   time_point now_;
   std::multimap<time_point, std::function<void()>> events_;
   std::unique_ptr<scheduler> leader_;
   std::uint64_t epoch_{0};
   double processor_{1};
-  std::deque<std::function<void()>> inbox_;  ///< what the leader has yet to take in
+  std::deque<std::function<void()>> inbox_;  ///< actions that the leader has yet to run
   time_point busy_until_{};
   time_point passed_at_{};
-  std::size_t orders_{0};  ///< that the leader gave
+  std::size_t orders_{0};  ///< sent by all leaders so far
   bool working_{false};
   bool pass_pending_{false};
   std::map<std::string, std::string> store_;
--- a/test/rosearch/sched/fill_index_test.cc
+++ b/test/rosearch/sched/fill_index_test.cc
@@ -8,7 +8,7 @@
 namespace rosearch::sched {
 namespace {
 
-struct indexed {
+struct index_fixture {
   worker_state& Add(const std::string& id, std::int64_t used, std::int64_t capacity = 16'000,
                     const std::string& pool = "pool") {
     auto& made = workers.emplace_back();
@@ -44,8 +44,8 @@
 
 }  // namespace
 
-TEST_CASE("workers with room are visited by how full they are, until enough are found") {
-  indexed cell;
+TEST_CASE("workers with room are visited in order of fill until the visitor stops") {
+  index_fixture cell;
   cell.Add("half", 8'000);
   cell.Add("empty", 0);
   cell.Add("nearly", 15'000);
@@ -58,16 +58,16 @@
   CHECK(cell.Full(8'000) == ids{"nearly", "full"});
 }
 
-// A place that is overlooked is never used: work would wait for ever beside it.
-TEST_CASE("a worker with just the room wanted counts as open, also beside larger ones") {
-  indexed cell;
+// A worker that the search misses is never used: tasks that fit only there would wait forever.
+TEST_CASE("a worker with exactly the room requested is open, also beside larger workers") {
+  index_fixture cell;
   cell.Add("small", 3'001, 7'001);
   cell.Add("large", 28'000, 32'000);
   CHECK(cell.Open(4'000, false) == ids{"large", "small"});
 }
 
-TEST_CASE("a worker moves as its use, its capacity or its pool changes, and goes") {
-  indexed cell;
+TEST_CASE("a worker is reindexed when its use, capacity or pool changes, and can be removed") {
+  index_fixture cell;
   auto& moves = cell.Add("moves", 0);
   auto& stays = cell.Add("stays", 4'000);
   CHECK(cell.Open(1'000, true) == ids{"moves", "stays"});
--- a/test/rosearch/sched/load_test.cc
+++ b/test/rosearch/sched/load_test.cc
@@ -3,8 +3,8 @@
 
 #include "rosearch/sched/cell_world.h"
 
-// The load at its worst, replayed in virtual time: what the scheduler does against it, beside the
-// same load without that.
+// Replays adverse loads in virtual time, each with the scheduler's defaults and again with the
+// mechanism against that load switched off.
 
 namespace rosearch::sched {
 namespace {
@@ -24,11 +24,13 @@
   return job;
 }
 
-/// Jobs of one kind, and how many of them their callers got in time.
-class handed_in {
+/// Submitted jobs of one kind, and the shares of them that completed in time or were refused.
+class submitted_jobs {
  public:
   void Add(cell_world& world, const job_spec& job) { ids_.push_back(world.Submit(job)); }
-  /// @return the share that was done soon after what its work takes at most.
+  /// @param work  estimate of a job's work; simulated runs take at most 1.6 times as long.
+  /// @param slack  time allowed beyond that.
+  /// @return share of jobs that completed within 1.6 times `work` plus `slack`.
   [[nodiscard]] double InTime(const cell_world& world, duration work, duration slack) const {
     std::size_t good = 0;
     for (const auto& id : ids_) {
@@ -38,7 +40,7 @@
     }
     return static_cast<double>(good) / static_cast<double>(ids_.size());
   }
-  /// @return the share that was refused at once.
+  /// @return share of jobs that were refused.
   [[nodiscard]] double Refused(const cell_world& world) const {
     const auto refused =
         std::ranges::count_if(ids_, [&](const auto& id) { return world.Refused(id); });
@@ -49,11 +51,12 @@
   std::vector<std::string> ids_;
 };
 
-/// Long work that can't be interrupted fills the cell; then urgent work comes in a burst.
+/// Long work that can't be preempted fills the cell, then a burst of urgent jobs arrives.
+/// @return share of urgent jobs in time.
 double UrgentBurst(const scheduler_settings& settings) {
   cell_world world{11, {}, kWorkers, settings};
   world.Run(seconds{1});
-  handed_in urgent;
+  submitted_jobs urgent;
   for (int at = 0; at < 100; ++at) {
     (void)world.Submit(Job(8, 4'000, milliseconds{6'000}, true));
     world.Run(milliseconds{100});
@@ -67,7 +70,7 @@
   return urgent.InTime(world, milliseconds{600}, milliseconds{600});
 }
 
-/// Twice as much long work as the cell can do.
+/// Submits twice as much long work as the cell can run.
 struct overload_result {
   double in_time{0};
   double refused{0};
@@ -75,7 +78,7 @@
 overload_result Overload(const scheduler_settings& settings) {
   cell_world world{12, {}, kWorkers, settings};
   world.Run(seconds{1});
-  handed_in all;
+  submitted_jobs all;
   for (int at = 0; at < 150; ++at) {
     all.Add(world, Job(10, 4'000, milliseconds{4'000}, true));
     world.Run(milliseconds{200});
@@ -85,13 +88,14 @@
   return {all.InTime(world, milliseconds{4'000}, seconds{3}), all.Refused(world)};
 }
 
-/// A tenth of the workers fails whatever starts there, and looks empty for it.
-double SickWorkers(const scheduler_settings& settings) {
+/// Two of the 24 workers fail every run, and so always have room.
+/// @return share of urgent jobs in time.
+double FailingWorkers(const scheduler_settings& settings) {
   cell_world world{13, {}, kWorkers, settings};
   world.SickenWorker(3);
   world.SickenWorker(8);
   world.Run(seconds{1});
-  handed_in urgent;
+  submitted_jobs urgent;
   for (int at = 0; at < 200; ++at) {
     urgent.Add(world, Job(8, 1'300, milliseconds{600}, false));
     world.Run(milliseconds{50});
@@ -107,11 +111,12 @@
   return settings;
 }
 
-/// Workers turn slow by a factor of seven for six seconds, each time others, under quick work.
+/// Slows two workers by a factor of 7 for 6 s, then two others, under urgent load.
+/// @return share of urgent jobs that completed within about three times their time.
 double SlowWorkers(const scheduler_settings& settings) {
   cell_world world{14, {}, kWorkers, settings};
   world.Run(seconds{1});
-  handed_in urgent;
+  submitted_jobs urgent;
   for (int at = 0; at < 240; ++at) {
     constexpr int kRound = 120;
     const std::size_t first = 3 + static_cast<std::size_t>(at) / kRound;
@@ -131,8 +136,8 @@
   return urgent.InTime(world, milliseconds{700} * 3, milliseconds{200});
 }
 
-/// Workers with eight accelerators each, of which advice allows three in ten, and questions that
-/// cost half a second at three processes.
+/// Returns a cell of workers with eight accelerators each, three tenths of which advice allows. An
+/// advice query costs over half a second, and three processes send queries.
 world_shape Accelerators() {
   world_shape shape;
   shape.worker = {64'000, 128'000, 8};
@@ -150,11 +155,13 @@
   return job;
 }
 
-/// Jobs that need all accelerators of a worker beside small ones that need one for each task.
+/// Jobs that need four or all eight accelerators of a worker, beside small jobs that need one per
+/// task.
+/// @return share of the large jobs in time.
 double ScarceAccelerators(const scheduler_settings& settings, const world_shape& shape) {
   cell_world world{15, {}, 13, settings, shape};
   world.Run(seconds{1});
-  handed_in large;
+  submitted_jobs large;
   for (int at = 0; at < 100; ++at) {
     large.Add(world, Accelerated(1, 31'000, at % 2 == 0 ? 8 : 4, milliseconds{5'000}));
     if (at % 2 == 0) {
@@ -167,14 +174,15 @@
   return large.InTime(world, milliseconds{5'000}, seconds{4});
 }
 
-/// Two jobs in three need all accelerators of a worker, and small work fills each gap: the pool is
+/// One job in four needs all accelerators of a worker, and small jobs fill the gaps: the pool is
 /// nine tenths full.
-double FewAllowed(const scheduler_settings& settings) {
+/// @return share of the large jobs in time.
+double FewAllowedWorkers(const scheduler_settings& settings) {
   auto shape = Accelerators();
   shape.allowed_tenths = 2;
   cell_world world{16, {}, 13, settings, shape};
   world.Run(seconds{1});
-  handed_in large;
+  submitted_jobs large;
   for (int at = 0; at < 120; ++at) {
     if (at % 3 == 0) {
       large.Add(world, Accelerated(1, 31'000, 8, milliseconds{5'000}));
@@ -188,6 +196,7 @@
 }
 
 /// Workers of three speeds, and quick jobs that end with their slowest task.
+/// @return share of the jobs in time.
 double MixedSpeeds(const scheduler_settings& settings) {
   cell_world world{17, {}, kWorkers, settings};
   for (std::size_t at = 0; at < kWorkers; ++at) {
@@ -195,7 +204,7 @@
     world.SlowWorker(at, kSpeeds[at % 3]);
   }
   world.Run(seconds{1});
-  handed_in urgent;
+  submitted_jobs urgent;
   for (int at = 0; at < 300; ++at) {
     urgent.Add(world, Job(6, 1'300, milliseconds{700}, false));
     world.Run(milliseconds{100});
@@ -207,77 +216,77 @@
 
 }  // namespace
 
-// Advice allows a job two or three workers, and it needs one of them whole. Small work takes each
-// gap there, since it fits sooner, and the caller's job waits while others come and go.
+// Advice allows a job two or three workers, and the job needs all of one. Without reservations,
+// small tasks take every gap on these workers and the large job starves.
 TEST_CASE("a job that few workers may run gets one of them") {
-  const double ours = FewAllowed({});
-  const double baseline = FewAllowed(Without(mechanism::kReservation));
-  std::cout << "whole workers for jobs that few may run, in time: " << ours
-            << ", without reservations " << baseline << '\n';
+  const double ours = FewAllowedWorkers({});
+  const double baseline = FewAllowedWorkers(Without(mechanism::kReservation));
+  std::cout << "jobs that need a whole worker, in time: " << ours << ", without reservations "
+            << baseline << '\n';
   CHECK(ours > 0.8);
   CHECK(ours > baseline + 0.1);
 }
 
-// Workers of one pool are up to half as fast again as others. A quick job with a task on a slow one
-// keeps its caller waiting, though fast ones had room.
+// Workers of one pool differ in speed by up to half. Without a preference for fast workers, a quick
+// job ends late because one task runs on a slow worker while fast ones have room.
 TEST_CASE("quick work finds the fast workers") {
   const double ours = MixedSpeeds({});
   const double baseline = MixedSpeeds(Without(mechanism::kSpeeds));
   std::cout << "quick jobs among workers of three speeds in time: " << ours
-            << ", without preferring fast ones " << baseline << '\n';
+            << ", without preferring fast workers " << baseline << '\n';
   CHECK(ours > baseline + 0.05);
 }
 
-// A worker that turns slow holds few runs for long and so looks empty: each job puts a task there,
-// and its caller waits for that one task seven times as long as for all the others.
+// A slowed worker holds few runs at a time and so attracts a task of each job. Without moving slow
+// runs, each job waits for that straggler, which takes seven times as long as its other tasks.
 TEST_CASE("a slow worker holds up few jobs") {
   const double ours = SlowWorkers({});
   const double baseline = SlowWorkers(Without(mechanism::kRescue));
-  std::cout << "beside slow workers within three times their time: " << ours
+  std::cout << "jobs beside slow workers within three times their time: " << ours
             << ", without moving slow runs " << baseline << '\n';
   CHECK(ours > 0.97);
   CHECK(ours > baseline);
 }
 
-// Many jobs wait for the accelerators of the few workers that advice allows them. Each question
-// costs half a second, and one that names only the worker that has room just then mostly tells that
-// it isn't allowed: the answers come ever later, and callers wait while room is free.
-TEST_CASE("scarce accelerators are not lost to questions for advice") {
+// Many jobs wait for the accelerators of the few workers that advice allows them. An advice query
+// costs half a second. Queries that name only the workers with room mostly return that these aren't
+// allowed, so the queue of queries grows and jobs wait while workers have room.
+TEST_CASE("advice queries leave no scarce accelerators unused") {
   const double ours = ScarceAccelerators({}, Accelerators());
   const double baseline = ScarceAccelerators(Without(mechanism::kAdviceAhead), Accelerators());
-  std::cout << "large accelerated jobs in time: " << ours << ", without asking ahead " << baseline
-            << '\n';
+  std::cout << "large accelerated jobs in time: " << ours << ", without early advice queries "
+            << baseline << '\n';
   CHECK(ours > 0.9);
   CHECK(ours > baseline + 0.1);
 }
 
-// Callers with urgent jobs come all at once while the cell is full of work that can't be stopped.
-// Without room kept for them they wait until some of it ends.
+// A burst of urgent jobs arrives while the cell is full of work that can't be preempted. Without
+// reserved capacity they wait until some of that work ends.
 TEST_CASE("a burst of urgent work finds room in a full cell") {
   auto without = Without(mechanism::kReserve);
   const double advised_ahead = UrgentBurst(without);
   without.off.Add(mechanism::kAdviceAhead);
   const double ours = UrgentBurst({});
   const double baseline = UrgentBurst(without);
-  std::cout << "urgent burst in time: " << ours << ", without a reserve " << advised_ahead
-            << ", without asking ahead either " << baseline << '\n';
+  std::cout << "urgent burst in time: " << ours << ", without reserved capacity " << advised_ahead
+            << ", also without early advice queries " << baseline << '\n';
   CHECK(ours > advised_ahead);
   CHECK(ours > 0.9);
   CHECK(ours > baseline + 0.2);
 }
 
-// Three times the quick work that there is room for: hundreds of steps wait, and runs end all the
-// time. A leader that looked at all of them in every pass had no time left for anything else just
-// when most was to be done, and nobody was served.
-TEST_CASE("looking for places costs what was freed, not what waits") {
+// With three times the quick work that the cell can run, hundreds of steps wait while runs end all
+// the time. A leader that tried to place every waiting step in every pass would spend all its time
+// on that and serve nobody.
+TEST_CASE("placement attempts grow with freed capacity, not with the backlog") {
   constexpr std::size_t kManyWorkers = 100;
   constexpr int kRounds = 250;
   constexpr milliseconds kPause{8};
-  scheduler_settings all_taken;
-  all_taken.off.Add(mechanism::kAdmission);
+  scheduler_settings admit_all;
+  admit_all.off.Add(mechanism::kAdmission);
   world_shape shape;
   shape.allowed_tenths = 1;
-  cell_world world{16, {}, kManyWorkers, all_taken, shape};
+  cell_world world{16, {}, kManyWorkers, admit_all, shape};
   world.Run(seconds{1});
   for (int at = 0; at < kRounds; ++at) {
     (void)world.Submit(Job(10, 4'000, milliseconds{600}, false));
@@ -285,102 +294,107 @@
   }
   const auto counts = [&] { return world.Leader().Counts(world.Now()); };
   const auto waiting_steps = counts().waiting_tasks / 10;
-  const auto looks_before = counts().placement_attempts;
+  const auto attempts_before = counts().placement_attempts;
   const auto starts_before = world.Starts();
-  constexpr seconds kWatched{2};
-  world.Run(kWatched);
-  const auto looks = static_cast<double>(counts().placement_attempts - looks_before);
+  constexpr seconds kMeasured{2};
+  world.Run(kMeasured);
+  const auto attempts = static_cast<double>(counts().placement_attempts - attempts_before);
   const auto freed = static_cast<double>(world.Starts() - starts_before);
-  // Each step now and then, and each run that ends concerns those that may run where it was.
-  constexpr double kLooksPerSecond = 20;
+  // Each waiting step is retried periodically, and each ended run causes attempts only for the
+  // steps that may run on its worker.
+  constexpr double kRetriesPerSecond = 20;
   constexpr double kAllowedShare = 0.1;
   const auto waiting = static_cast<double>(waiting_steps);
   CHECK(waiting > 100);
-  CHECK(looks <
-        2 * waiting * kLooksPerSecond * kWatched.count() + 2 * freed * waiting * kAllowedShare);
+  CHECK(attempts <
+        2 * waiting * kRetriesPerSecond * kMeasured.count() + 2 * freed * waiting * kAllowedShare);
   CHECK(world.Broken().empty());
 }
 
-/// Quick work at a cell whose leader has some share of a processor for twelve seconds, then all of
-/// it.
+/// Shares of quick jobs in time, at a cell whose leader has a share of a processor for 12 s and a
+/// whole one before and after.
 struct slowed_result {
-  double before{0};  ///< in time while the leader had a whole processor
-  double slowed{0};  ///< in time while it had a share of one
-  double after{0};   ///< in time of what came two seconds later and on
-  bool lost{false};  ///< something accepted never ended
+  double before{0};  ///< submitted while the leader had a whole processor
+  double slowed{0};  ///< submitted while it had a share of one
+  double after{0};   ///< submitted from 2 s after it had a whole one again
+  bool lost{false};  ///< whether an accepted job never ended
 };
 slowed_result SlowedLeader(double processor, const scheduler_settings& settings = {}) {
   constexpr std::size_t kManyWorkers = 100;
   constexpr milliseconds kPause{10};
   world_shape shape;
-  // Three fifths of a processor for this load.
+  // These costs add up to three fifths of a processor under this load.
   shape.cost = {std::chrono::microseconds{200}, std::chrono::microseconds{200},
                 std::chrono::microseconds{300}};
   cell_world world{17, {}, kManyWorkers, settings, shape};
   world.Run(seconds{1});
-  const auto hand_in = [&](seconds span) {
-    handed_in jobs;
+  const auto submit_for = [&](seconds span) {
+    submitted_jobs jobs;
     for (milliseconds at{0}; at < span; at += kPause) {
       jobs.Add(world, Job(6, 1'300, milliseconds{300}, false));
       world.Run(kPause);
     }
     return jobs;
   };
-  const auto before = hand_in(seconds{6});
+  const auto before = submit_for(seconds{6});
   world.SetProcessor(processor);
-  const auto slowed = hand_in(seconds{12});
+  const auto slowed = submit_for(seconds{12});
   world.SetProcessor(1.0);
-  (void)hand_in(seconds{2});
-  const auto after = hand_in(seconds{6});
+  (void)submit_for(seconds{2});
+  const auto after = submit_for(seconds{6});
   world.Run(seconds{60});
   CHECK(world.Broken().empty());
-  const auto in_time = [&](const handed_in& jobs) {
+  const auto in_time = [&](const submitted_jobs& jobs) {
     return jobs.InTime(world, milliseconds{300}, milliseconds{400});
   };
   return {in_time(before), in_time(slowed), in_time(after), !world.Unfinished().empty()};
 }
 
-// The machine of the leader turns slow, or has other work. It may decide less, but what it serves
-// must not fall faster than its processor does, and it must be back soon after.
-TEST_CASE("a leader with less processor decides less and doesn't collapse", "[slowed-leader]") {
+// The leader's machine slows down or has other load. The share of jobs in time must not fall below
+// the leader's share of its processor, and must recover within 2 s of the slowdown.
+TEST_CASE("a leader with less processor degrades at most in proportion and recovers",
+          "[slowed-leader]") {
   const double processor = GENERATE(1.0, 0.5, 0.25, 0.125);
   const auto got = SlowedLeader(processor);
   std::cout << "leader with " << processor << " of a processor: in time " << got.before
-            << " before, " << got.slowed << " meanwhile, " << got.after << " after\n";
+            << " before, " << got.slowed << " while slowed, " << got.after << " after\n";
   CHECK(got.before > 0.95);
   CHECK(got.slowed >= got.before * processor);
   CHECK(got.after >= got.before - 0.02);
   CHECK_FALSE(got.lost);
 }
 
-// The same, taking in whatever comes: everything is late, also what comes after.
-TEST_CASE("a leader with less processor that turns nothing away serves nobody", "[slowed-leader]") {
+// As above, without admission control: the backlog makes every job late, also those submitted after
+// the slowdown.
+TEST_CASE("a slowed leader without admission control serves fewer jobs in time",
+          "[slowed-leader]") {
   const auto ours = SlowedLeader(0.25);
   const auto baseline = SlowedLeader(0.25, Without(mechanism::kAdmission));
-  std::cout << "leader with a quarter of a processor: in time " << ours.slowed << ", taking in all "
-            << baseline.slowed << ", and after it " << baseline.after << '\n';
+  std::cout << "leader with a quarter of a processor: in time " << ours.slowed
+            << ", without admission control " << baseline.slowed << ", and after the slowdown "
+            << baseline.after << '\n';
   CHECK(ours.slowed > baseline.slowed + 0.2);
 }
 
-// Twice the work that there is room for. Taken in all of it, every job is late; turned away at
-// once, a part's callers can come back, and the rest is in time.
-TEST_CASE("what can't be done in time is refused, so that the rest is") {
+// Under twice the load that the cell can run, accepting every job makes all of them late. Refusing
+// a part at once lets its callers retry and the rest complete in time.
+TEST_CASE("jobs that can't complete in time are refused, so that the rest complete in time") {
   scheduler_settings without;
   without.admission_slack = 1e9;
   const auto ours = Overload({});
   const auto baseline = Overload(without);
-  std::cout << "overload in time: " << ours.in_time << " (refused " << ours.refused
-            << "), taking in all " << baseline.in_time << '\n';
+  std::cout << "overload, in time: " << ours.in_time << " (refused " << ours.refused
+            << "), without admission control " << baseline.in_time << '\n';
   CHECK(baseline.refused == 0);
   CHECK(ours.in_time > baseline.in_time + 0.1);
   CHECK(ours.in_time / (1 - ours.refused) > 0.75);
 }
 
-// A worker that fails everything is always the emptiest. Trusted again each time, it draws new work
-// for ever.
-TEST_CASE("workers that fail everything are left alone") {
-  const double ours = SickWorkers({});
-  std::cout << "beside failing workers in time: " << ours << '\n';
+// A worker that fails every run always has the most room. Without a lasting penalty it would
+// attract new tasks forever.
+TEST_CASE("workers that fail every run are avoided") {
+  const double ours = FailingWorkers({});
+  std::cout << "jobs beside failing workers, in time: " << ours << '\n';
   CHECK(ours > 0.9);
 }
 
--- a/test/rosearch/sched/random_days_test.cc
+++ b/test/rosearch/sched/random_days_test.cc
@@ -47,7 +47,7 @@
   return job;
 }
 
-void PlayDay(std::uint64_t seed, const world_faults& faults) {
+void RunRandomLoad(std::uint64_t seed, const world_faults& faults) {
   INFO("seed " << seed);
   cell_world world{seed, faults, 12};
   random_source random{seed + 1};
@@ -63,52 +63,52 @@
   }
   world.Calm();
   world.Run(seconds{90});
-  for (const auto& broken : world.Broken()) {
-    FAIL_CHECK(broken);
+  for (const auto& violation : world.Broken()) {
+    FAIL_CHECK(violation);
   }
   for (const auto& id : world.Unfinished()) {
-    FAIL_CHECK("never ended " << id);
+    FAIL_CHECK("job did not end: " << id);
   }
   CHECK(world.Starts() > 100);
 }
 
 }  // namespace
 
-TEST_CASE("a calm day keeps every promise") {
+TEST_CASE("a run without faults violates no invariant") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    PlayDay(seed, {});
+    RunRandomLoad(seed, {});
   }
 }
 
-// Answers to orders are lost and orders are carried out seconds late. A caller would notice work
-// that is done twice, or a worker that is overloaded.
+// Answers to orders are lost, and orders are executed seconds late. A leader that assumed such an
+// order failed would run the task twice or overcommit a worker.
 TEST_CASE("lost answers and late orders never make a task run twice") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     world_faults faults;
     faults.answer_lost = 0.08;
     faults.order_late = 0.05;
     faults.run_fails = 0.05;
-    PlayDay(seed, faults);
+    RunRandomLoad(seed, faults);
   }
 }
 
-// The store refuses appends, or stores them without saying so. A caller would notice a job that was
-// refused and runs, or one that was accepted and is unknown.
-TEST_CASE("a store that refuses or says nothing costs no job") {
+// The store refuses appends, drops them, or stores them without answering. Guards against jobs that
+// run although they were refused, and accepted jobs that the leader doesn't know.
+TEST_CASE("refused and unanswered appends lose no job") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     world_faults faults;
     faults.store_refuses = 0.15;
     faults.store_silent = 0.1;
     faults.store_drops = 0.1;
     faults.run_fails = 0.03;
-    PlayDay(seed, faults);
+    RunRandomLoad(seed, faults);
   }
 }
 
-// The leader dies every few seconds, and workers die or are out of reach while it does. The next
-// leader knows only what is stored and what workers list. A caller would notice a job that starts
-// over, or never ends.
-TEST_CASE("leaders that die hand over without running anything twice") {
+// The leader dies every 12.5 s on average, and workers restart or are unreachable meanwhile. The
+// next leader knows only the stored records and the runs that workers report. Guards against jobs
+// that start over or never end.
+TEST_CASE("changes of leader run nothing twice") {
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     world_faults faults;
     faults.leader_dies = 0.08;
@@ -116,24 +116,24 @@
     faults.worker_dies = 0.005;
     faults.answer_lost = 0.03;
     faults.run_fails = 0.1;
-    PlayDay(seed, faults);
+    RunRandomLoad(seed, faults);
   }
 }
 
-// Answers to questions for advice are lost with the process that asked. A caller would notice a job
-// that is accepted and never starts, in a cell with room for it.
-TEST_CASE("lost answers to questions for advice keep no job waiting for ever") {
+// Advice queries stay unanswered, as when the process that sent them dies. Guards against accepted
+// jobs that never start although the cell has room for them.
+TEST_CASE("lost advice answers keep no job waiting forever") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     world_faults faults;
     faults.advice_lost = 0.25;
     faults.run_fails = 0.05;
-    PlayDay(seed, faults);
+    RunRandomLoad(seed, faults);
   }
 }
 
 namespace {
 
-void PlayTroubledDays(std::uint64_t first, std::uint64_t last) {
+void RunWithAllFaults(std::uint64_t first, std::uint64_t last) {
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     world_faults faults;
     faults.leader_dies = 0.04;
@@ -145,15 +145,15 @@
     faults.store_refuses = 0.05;
     faults.store_silent = 0.04;
     faults.store_drops = 0.04;
-    PlayDay(seed, faults);
+    RunRandomLoad(seed, faults);
   }
 }
 
 }  // namespace
 
-TEST_CASE("all troubles together keep every promise") { PlayTroubledDays(1, 30); }
+TEST_CASE("all faults together violate no invariant") { RunWithAllFaults(1, 30); }
 
-// By hand, with the tag [many].
-TEST_CASE("all troubles together over many seeds", "[.][many]") { PlayTroubledDays(1'000, 1'600); }
+// Hidden by default; run it by hand with the tag [many].
+TEST_CASE("all faults together over many seeds", "[.][many]") { RunWithAllFaults(1'000, 1'600); }
 
 }  // namespace rosearch::sched
--- a/test/rosearch/sched/scheduler_test.cc
+++ b/test/rosearch/sched/scheduler_test.cc
@@ -15,10 +15,10 @@
 
 constexpr const char* kQueue = "cell.test/jobs/";
 
-/// A scheduler with some workers, driven by hand.
-class bench_top {
+/// A leading scheduler with idle workers that a test drives step by step.
+class scheduler_fixture {
  public:
-  explicit bench_top(std::size_t workers = 2, std::uint64_t epoch = 1)
+  explicit scheduler_fixture(std::size_t workers = 2, std::uint64_t epoch = 1)
       : leader{scheduler_settings{}, epoch, log} {
     cell_configuration made;
     made.version = 1;
@@ -41,7 +41,7 @@
     (void)Store();
   }
 
-  void Pass(duration span) {
+  void AdvanceTime(duration span) {
     now.steady += span;
     now.wall_ms += std::chrono::duration_cast<milliseconds>(span).count();
   }
@@ -53,12 +53,13 @@
     }
     return batch.records;
   }
-  /// Stores what there is and keeps the newest record of each key, that of the workers included.
-  void Keep() {
+  /// Stores the pending records and saves the newest record of each key in `saved`, including that
+  /// of the workers.
+  void SaveRecords() {
     for (const auto& record : Store()) {
-      kept[record.key] = record.value;
+      saved[record.key] = record.value;
     }
-    kept["w"] = workers_record;
+    saved["w"] = workers_record;
   }
   void Report(const std::string& worker, const worker_report& report) {
     (void)leader.NextWatch(worker, now);
@@ -91,27 +92,27 @@
     return starts;
   }
 
-  std::string workers_record;               ///< newest that was stored
-  std::map<std::string, std::string> kept;  ///< see `Keep`
+  std::string workers_record;                ///< newest that was stored
+  std::map<std::string, std::string> saved;  ///< newest record per key, see `SaveRecords`
   kept_log log;
   instant now{time_point{seconds{1'000}}, 1'000'000};
   sched::scheduler leader;
   std::vector<stop_order> stops;
 };
 
-/// What a leader left in the store, and the one that follows it.
-class successor {
+/// A new leader that restores the records that a former one saved.
+class new_leader {
  public:
-  explicit successor(const bench_top& former)
+  explicit new_leader(const scheduler_fixture& former)
       : now{former.now}, leader{scheduler_settings{}, 2, log} {
     leader.Configure(former.leader.configuration(), now);
-    for (const auto& [key, value] : former.kept) {
+    for (const auto& [key, value] : former.saved) {
       REQUIRE(leader.Restore({key, value}, now));
     }
     leader.FinishRestore(now);
   }
-  /// A worker is in the registry, answers, and is recorded.
-  void Answers(const std::string& worker, const worker_report& report = {}) {
+  /// Lists a worker in the registry, reports for it and stores its record.
+  void AddWorker(const std::string& worker, const worker_report& report = {}) {
     leader.ObserveWorker(
         {worker, "10.0.0.1:80", "pool", "", "", "", {}, {4'000, 8'000, 0}, false, {}}, now);
     (void)leader.NextWatch(worker, now);
@@ -141,215 +142,215 @@
 }  // namespace
 
 TEST_CASE("nothing of a job starts before its record is stored") {
-  bench_top top;
-  CHECK(top.Submit("a", 1).verdict == submit_verdict::kPending);
-  CHECK(top.Starts().empty());
-  CHECK_FALSE(top.leader.Phase("a", kQueue));
-  (void)top.Store();
-  CHECK(top.Starts().size() == 1);
-  CHECK(top.leader.Phase("a", kQueue) == job_phase::kRunning);
+  scheduler_fixture fixture;
+  CHECK(fixture.Submit("a", 1).verdict == submit_verdict::kPending);
+  CHECK(fixture.Starts().empty());
+  CHECK_FALSE(fixture.leader.Phase("a", kQueue));
+  (void)fixture.Store();
+  CHECK(fixture.Starts().size() == 1);
+  CHECK(fixture.leader.Phase("a", kQueue) == job_phase::kRunning);
 }
 
-TEST_CASE("a job handed in twice is one job") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  CHECK(top.Submit("a", 1).verdict == submit_verdict::kPending);
-  (void)top.Store();
-  CHECK(top.Submit("a", 1).verdict == submit_verdict::kAccepted);
-  CHECK(top.Starts().size() == 1);
+TEST_CASE("a job submitted twice is one job") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  CHECK(fixture.Submit("a", 1).verdict == submit_verdict::kPending);
+  (void)fixture.Store();
+  CHECK(fixture.Submit("a", 1).verdict == submit_verdict::kAccepted);
+  CHECK(fixture.Starts().size() == 1);
 }
 
-TEST_CASE("a job that fits no worker is refused at once, without a time to come back") {
-  bench_top top;
-  const auto answer = top.Submit("a", 1, 9'000);
+TEST_CASE("a job that fits no worker is refused at once, without a retry time") {
+  scheduler_fixture fixture;
+  const auto answer = fixture.Submit("a", 1, 9'000);
   CHECK(answer.verdict == submit_verdict::kRefused);
   CHECK(answer.retry_after == duration{});
-  CHECK(top.log.Has("reason=never_fits"));
+  CHECK(fixture.log.Has("reason=never_fits"));
 }
 
-// The store can't be reached while a caller hands in a job. The caller is told at once, and the job
-// must then never run.
-TEST_CASE("a job that no batch carries is refused for good when the store is away") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  top.leader.RefuseUnsent();
-  const auto settled = top.leader.TakeSettled();
+// The store is unreachable while a caller submits a job. The caller gets a refusal at once, so the
+// job must never run.
+TEST_CASE("an unsent job is refused for good when the store is unreachable") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  fixture.leader.RefuseUnsent();
+  const auto settled = fixture.leader.TakeSettled();
   REQUIRE(settled.size() == 1);
   CHECK_FALSE(settled[0].accepted);
-  (void)top.Store();
-  CHECK(top.Starts().empty());
+  (void)fixture.Store();
+  CHECK(fixture.Starts().empty());
 }
 
-// The append that carries a job was sent and not answered. Whoever asks again must not be told that
-// the job is refused: it may be stored, and would then run all the same.
-TEST_CASE("a job whose append is under way stays pending when the store is away") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  const auto batch = top.leader.TakeBatch();
-  top.leader.RefuseUnsent();
-  CHECK(top.leader.IsPending("a"));
-  CHECK(top.leader.TakeSettled().empty());
-  top.leader.OnStored(batch.number, top.now);
-  CHECK(top.leader.TakeSettled().at(0).accepted);
+// The append that carries a job was sent and not answered, so the job may be stored and run later.
+// A caller that asks again must not be told that it is refused.
+TEST_CASE("a job whose append is in flight stays pending when the store is unreachable") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  const auto batch = fixture.leader.TakeBatch();
+  fixture.leader.RefuseUnsent();
+  CHECK(fixture.leader.IsPending("a"));
+  CHECK(fixture.leader.TakeSettled().empty());
+  fixture.leader.OnStored(batch.number, fixture.now);
+  CHECK(fixture.leader.TakeSettled().at(0).accepted);
 }
 
-TEST_CASE("a worker is never promised more than it holds") {
-  bench_top top{1};
-  (void)top.Submit("a", 6);
-  (void)top.Store();
-  CHECK(top.Starts().size() == 4);
-  CHECK(top.Starts().empty());
+TEST_CASE("a worker is never overcommitted") {
+  scheduler_fixture fixture{1};
+  (void)fixture.Submit("a", 6);
+  (void)fixture.Store();
+  CHECK(fixture.Starts().size() == 4);
+  CHECK(fixture.Starts().empty());
 }
 
-// An order to start went out twice by different ways; the first copy was carried out and its run
-// ended before the second arrived, which the worker refuses as old. Read as "never started", the
-// task would run a second time, and a caller pay twice.
-TEST_CASE("an order refused as old is taken for one that was carried out") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto start = top.Starts().at(0);
-  top.leader.OnStartAnswer(start, start_outcome::kStaleRun, top.now);
-  CHECK(top.Starts().empty());
+// A start order was sent twice by different routes. The first copy was executed and its run ended
+// before the second arrived, which the worker refuses as stale. If the leader took that to mean
+// that the run never started, the task would run twice and a caller would pay twice.
+TEST_CASE("a start order refused as stale counts as executed") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto start = fixture.Starts().at(0);
+  fixture.leader.OnStartAnswer(start, start_outcome::kStaleRun, fixture.now);
+  CHECK(fixture.Starts().empty());
   worker_report report;
   report.ended = {{1, start.task, start.run, end_kind::kDone, ""}};
-  top.Pass(milliseconds{50});
-  top.Report(start.worker, report);
-  (void)top.Store();
-  CHECK(top.leader.Phase("a", kQueue) == job_phase::kCompleted);
-  CHECK(top.Starts().empty());
+  fixture.AdvanceTime(milliseconds{50});
+  fixture.Report(start.worker, report);
+  (void)fixture.Store();
+  CHECK(fixture.leader.Phase("a", kQueue) == job_phase::kCompleted);
+  CHECK(fixture.Starts().empty());
 }
 
-// The answer to an order is lost, and so is that to the second sending. The worker says that it has
-// no room; but the first sending may still arrive, so the task must not start elsewhere before the
-// worker has said that the run can't begin any more.
-TEST_CASE("a refusal does not make up for an earlier sending that was never answered") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto first = top.Starts().at(0);
-  top.leader.OnStartAnswer(first, start_outcome::kUnknown, top.now);
-  top.leader.Tick(top.now);
-  const auto second = top.Starts();
+// A start order is not answered, and the worker refuses its retry for lack of room. The first copy
+// may still arrive, so the task must not start elsewhere until the worker confirms that the run can
+// no longer start.
+TEST_CASE("a refused retry does not settle an earlier unanswered start order") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto first = fixture.Starts().at(0);
+  fixture.leader.OnStartAnswer(first, start_outcome::kUnknown, fixture.now);
+  fixture.leader.Tick(fixture.now);
+  const auto second = fixture.Starts();
   REQUIRE(second.size() == 1);
   CHECK(second[0].run == first.run);
   CHECK(second[0].worker == first.worker);
-  top.leader.OnStartAnswer(second[0], start_outcome::kNoRoom, top.now);
-  CHECK(top.Starts().empty());
-  REQUIRE(top.stops.size() == 1);
-  top.leader.OnStopAnswer(top.stops[0], true, top.now);
-  top.Pass(milliseconds{100});
-  top.Report(first.worker, {});
-  const auto third = top.Starts();
+  fixture.leader.OnStartAnswer(second[0], start_outcome::kNoRoom, fixture.now);
+  CHECK(fixture.Starts().empty());
+  REQUIRE(fixture.stops.size() == 1);
+  fixture.leader.OnStopAnswer(fixture.stops[0], true, fixture.now);
+  fixture.AdvanceTime(milliseconds{100});
+  fixture.Report(first.worker, {});
+  const auto third = fixture.Starts();
   REQUIRE(third.size() == 1);
   CHECK(third[0].run > first.run);
 }
 
-// A worker falls silent. What it runs goes on until its lease has lapsed by its own clock, which
-// may be slow: started elsewhere before, the task would run in two places.
-TEST_CASE("what a silent worker runs starts elsewhere only after its lease has lapsed") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto first = top.Starts().at(0);
-  top.leader.OnStartAnswer(first, start_outcome::kStarted, top.now);
-  // One watch without an answer is mostly a lost answer; two make the worker silent.
-  top.leader.OnWatchFailed(first.worker, watch_failure::kNoAnswer, top.now);
-  top.leader.OnWatchFailed(first.worker, watch_failure::kNoAnswer, top.now);
-  top.Pass(milliseconds{6'100});
-  top.leader.Tick(top.now);
-  CHECK(top.Starts().empty());
-  top.Pass(milliseconds{400});
-  top.leader.Tick(top.now);
-  const auto second = top.Starts();
+// The runs of an unreachable worker continue until its lease has expired by its own clock, which
+// may be slow. A task that started elsewhere before then would run in two places.
+TEST_CASE("tasks of a silent worker start elsewhere only after its lease has expired") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto first = fixture.Starts().at(0);
+  fixture.leader.OnStartAnswer(first, start_outcome::kStarted, fixture.now);
+  // A single unanswered watch is mostly a lost answer; two make the worker silent.
+  fixture.leader.OnWatchFailed(first.worker, watch_failure::kNoAnswer, fixture.now);
+  fixture.leader.OnWatchFailed(first.worker, watch_failure::kNoAnswer, fixture.now);
+  fixture.AdvanceTime(milliseconds{6'100});
+  fixture.leader.Tick(fixture.now);
+  CHECK(fixture.Starts().empty());
+  fixture.AdvanceTime(milliseconds{400});
+  fixture.leader.Tick(fixture.now);
+  const auto second = fixture.Starts();
   REQUIRE(second.size() == 1);
   CHECK(second[0].worker != first.worker);
 }
 
-// A start is never answered, and neither is the order to stop it. The worker doesn't list the run;
-// but the start may still be on its way, and nothing there forbids it yet.
-TEST_CASE("a run that isn't listed is over only once its worker has heard the order to stop it") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto first = top.Starts().at(0);
-  for (int tries = 0; tries < 3; ++tries) {
-    top.leader.OnStartAnswer(first, start_outcome::kUnknown, top.now);
-    top.leader.Tick(top.now);
-    (void)top.Starts();
+// Neither a start order nor the order to stop its run is answered. The worker doesn't list the run,
+// but the start order may still be in flight, and the worker would execute it.
+TEST_CASE("an unlisted run is over only once its worker has confirmed the stop order") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto first = fixture.Starts().at(0);
+  for (int attempt = 0; attempt < 3; ++attempt) {
+    fixture.leader.OnStartAnswer(first, start_outcome::kUnknown, fixture.now);
+    fixture.leader.Tick(fixture.now);
+    (void)fixture.Starts();
   }
-  REQUIRE(top.stops.size() == 1);
-  top.leader.OnStopAnswer(top.stops[0], false, top.now);
-  top.Pass(milliseconds{100});
-  top.Report(first.worker, {});
-  CHECK(top.Starts().empty());
-  top.leader.OnStopAnswer(top.stops[0], true, top.now);
-  top.Pass(milliseconds{100});
-  top.Report(first.worker, {});
-  CHECK(top.Starts().size() == 1);
+  REQUIRE(fixture.stops.size() == 1);
+  fixture.leader.OnStopAnswer(fixture.stops[0], false, fixture.now);
+  fixture.AdvanceTime(milliseconds{100});
+  fixture.Report(first.worker, {});
+  CHECK(fixture.Starts().empty());
+  fixture.leader.OnStopAnswer(fixture.stops[0], true, fixture.now);
+  fixture.AdvanceTime(milliseconds{100});
+  fixture.Report(first.worker, {});
+  CHECK(fixture.Starts().size() == 1);
 }
 
-// A leader dies right after its first start at a new worker, which then can't be reached. A
-// successor that doesn't know the worker wouldn't wait for its lease, and the task would run in two
-// places.
+// A leader dies right after its first start at a new worker, which then becomes unreachable. A new
+// leader without a record of the worker wouldn't wait for its lease to expire, and the task would
+// run in two places.
 TEST_CASE("nothing starts at a worker that isn't recorded") {
-  bench_top top{0};
+  scheduler_fixture fixture{0};
   worker_facts facts{"w7", "10.0.0.7:80", "pool", "", "", "", {}, {4'000, 8'000, 0}, false, {}};
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  top.leader.ObserveWorker(facts, top.now);
-  (void)top.Store();
-  top.Report("w7", {});
-  CHECK(top.Starts().empty());
-  const auto records = top.Store();
-  CHECK(top.Starts().size() == 1);
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  fixture.leader.ObserveWorker(facts, fixture.now);
+  (void)fixture.Store();
+  fixture.Report("w7", {});
+  CHECK(fixture.Starts().empty());
+  const auto records = fixture.Store();
+  CHECK(fixture.Starts().size() == 1);
   CHECK(std::ranges::any_of(records, [](const auto& record) { return record.key == "w"; }));
 }
 
-TEST_CASE("another life at a worker's address ends what ran there at once") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto first = top.Starts().at(0);
-  top.leader.OnStartAnswer(first, start_outcome::kStarted, top.now);
-  top.leader.OnWatchFailed(first.worker, watch_failure::kOtherLife, top.now);
-  CHECK(top.Starts().size() == 1);
+TEST_CASE("a restarted worker at the same address ends the former runs at once") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto first = fixture.Starts().at(0);
+  fixture.leader.OnStartAnswer(first, start_outcome::kStarted, fixture.now);
+  fixture.leader.OnWatchFailed(first.worker, watch_failure::kOtherLife, fixture.now);
+  CHECK(fixture.Starts().size() == 1);
 }
 
-TEST_CASE("an end is acknowledged only once what follows from it is stored") {
-  bench_top top;
-  (void)top.Submit("a", 2);
-  (void)top.Store();
-  const auto starts = top.Starts();
+TEST_CASE("a run's end is acknowledged only once its effects are stored") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 2);
+  (void)fixture.Store();
+  const auto starts = fixture.Starts();
   worker_report report;
   report.ended = {{1, starts[0].task, starts[0].run, end_kind::kDone, ""}};
-  top.Report(starts[0].worker, report);
-  CHECK(top.leader.NextWatch(starts[0].worker, top.now)->acked_end == 0);
-  (void)top.Store();
-  CHECK(top.leader.NextWatch(starts[0].worker, top.now)->acked_end == 1);
+  fixture.Report(starts[0].worker, report);
+  CHECK(fixture.leader.NextWatch(starts[0].worker, fixture.now)->acked_end == 0);
+  (void)fixture.Store();
+  CHECK(fixture.leader.NextWatch(starts[0].worker, fixture.now)->acked_end == 1);
 }
 
 TEST_CASE("a job is shown as completed only once that is stored") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto start = top.Starts().at(0);
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto start = fixture.Starts().at(0);
   worker_report report;
   report.ended = {{1, start.task, start.run, end_kind::kDone, ""}};
-  top.Report(start.worker, report);
-  CHECK(top.leader.Phase("a", kQueue) == job_phase::kRunning);
-  (void)top.Store();
-  CHECK(top.leader.Phase("a", kQueue) == job_phase::kCompleted);
+  fixture.Report(start.worker, report);
+  CHECK(fixture.leader.Phase("a", kQueue) == job_phase::kRunning);
+  (void)fixture.Store();
+  CHECK(fixture.leader.Phase("a", kQueue) == job_phase::kCompleted);
 }
 
-// A new leader reads failed ends from the workers in any order, the newest first, and some of them
-// were stored already. Each run counts once: a task with two allowed attempts that failed twice is
-// not tried a third time, and one that failed once is.
+// A new leader receives failed ends from workers in any order, here the newest first, and some of
+// them again after they were stored. Each run counts as one attempt: a task with two allowed
+// attempts is retried after one failed run, and not after two.
 TEST_CASE("failed ends count once each, in whatever order workers list them") {
-  bench_top first;
+  scheduler_fixture first;
   (void)first.Submit("a", 1);
   const auto records = first.Store();
-  bench_top next{0, 2};
+  scheduler_fixture next{0, 2};
   for (const auto& record : records) {
     CHECK(next.leader.Restore(record, next.now));
   }
@@ -367,20 +368,20 @@
   CHECK(next.leader.Phase("a", kQueue) == job_phase::kFailed);
 }
 
-// The former leader may have started anything at a worker that doesn't answer the new one. Until
-// its lease has lapsed no task of an old job starts, while new jobs run at once.
-TEST_CASE("after a change of leader old tasks wait for workers that are out of reach") {
-  bench_top first;
+// The former leader may have started any task at a worker that doesn't answer the new leader. No
+// task of an old job starts until that worker's lease has expired, while new jobs run at once.
+TEST_CASE("after a change of leader old tasks wait for unreachable workers") {
+  scheduler_fixture first;
   (void)first.Submit("old", 1);
   auto records = first.Store();
-  bench_top workers_known;
+  scheduler_fixture workers_known;
   (void)workers_known.Submit("x", 1);
   kept_log log;
   scheduler next{scheduler_settings{}, 2, log};
   next.Configure(first.leader.configuration(), first.now);
   CHECK(next.Restore(records.at(0), first.now));
   // The record of the workers was stored by the batch before.
-  bench_top recorder{0};
+  scheduler_fixture recorder{0};
   worker_facts facts{"w7", "10.0.0.7:80", "pool", "", "", "", {}, {4'000, 8'000, 0}, false, {}};
   recorder.leader.ObserveWorker(facts, recorder.now);
   (void)recorder.Store();
@@ -398,13 +399,14 @@
   CHECK(next.OldRunsSettled());
 }
 
-// A worker is lost for good, and a little later the leader dies. Only what ran at that worker has
-// to wait for its lease; without a word in the store all old work would stand still for 8 s.
+// A worker is lost for good, and the leader dies shortly afterwards. Only the tasks that ran at
+// that worker have to wait for its lease. Unless the store tells which these are, all old work
+// would wait for 8 s.
 TEST_CASE("after a change of leader only the tasks of a silent worker wait for it") {
-  bench_top first;
+  scheduler_fixture first;
   (void)first.Submit("a", 1);
   (void)first.Submit("b", 1);
-  first.Keep();
+  first.SaveRecords();
   const auto starts = first.Starts();
   REQUIRE(starts.size() == 2);
   REQUIRE(starts[0].worker != starts[1].worker);
@@ -412,11 +414,11 @@
   first.leader.OnWatchFailed(lost.worker, watch_failure::kNoAnswer, first.now);
   first.leader.OnWatchFailed(lost.worker, watch_failure::kNoAnswer, first.now);
   REQUIRE(first.leader.HasRecords());
-  first.Keep();
+  first.SaveRecords();
 
-  successor next{first};
+  new_leader next{first};
   CHECK_FALSE(next.leader.OldRunsSettled());
-  next.Answers(starts[1].worker);
+  next.AddWorker(starts[1].worker);
   CHECK(next.leader.OldRunsSettled());
   const auto orders = next.Orders();
   REQUIRE(orders.size() == 1);
@@ -430,14 +432,14 @@
   }));
 }
 
-// Workers are replaced one after another, and the leader dies in between. A worker that was leaving
-// is gone by the time the next one leads. What ran there was known; all other old work must not
-// wait for its lease.
+// During a rolling replacement of workers the leader dies, and a worker that was leaving is gone by
+// the time the new leader takes over. The store tells which tasks ran there, so all other old work
+// must not wait for its lease.
 TEST_CASE("after a change of leader only the tasks of a leaving worker wait for it") {
-  bench_top first;
+  scheduler_fixture first;
   (void)first.Submit("a", 1);
   (void)first.Submit("b", 1);
-  first.Keep();
+  first.SaveRecords();
   const auto starts = first.Starts();
   REQUIRE(starts.size() == 2);
   REQUIRE(starts[0].worker != starts[1].worker);
@@ -446,10 +448,10 @@
       {leaving.worker, "10.0.0.1:80", "pool", "", "", "", {}, {4'000, 8'000, 0}, true, seconds{2}},
       first.now);
   REQUIRE(first.leader.HasRecords());
-  first.Keep();
+  first.SaveRecords();
 
-  successor next{first};
-  next.Answers(starts[1].worker);
+  new_leader next{first};
+  next.AddWorker(starts[1].worker);
   CHECK(next.leader.OldRunsSettled());
   CHECK(next.Started() == std::vector{starts[1].task});
   next.now.steady += seconds{9};
@@ -457,20 +459,20 @@
   CHECK(next.Started() == std::vector{leaving.task});
 }
 
-// A worker dies just as the leader does. Whatever it was told to run, it never accepts a step that
-// advice doesn't allow there: such steps go on, the others wait for its lease.
+// A worker dies together with the leader. It never accepts a step that advice doesn't allow there,
+// whatever it was ordered to run: such steps continue at once, and the others wait for its lease.
 TEST_CASE("after a change of leader advice tells which steps a lost worker can't run") {
-  bench_top first;
+  scheduler_fixture first;
   auto advised = first.leader.configuration();
   advised.version = 2;
   advised.queues[0].advice = advice_cost{milliseconds{20}, milliseconds{1}, seconds{2}};
   first.leader.Configure(advised, first.now);
   (void)first.Submit("a", 1);
   (void)first.Submit("b", 1);
-  first.Keep();
+  first.SaveRecords();
 
-  successor next{first};
-  next.Answers("w1");
+  new_leader next{first};
+  next.AddWorker("w1");
   CHECK_FALSE(next.leader.OldRunsSettled());
   std::size_t asked = 0;
   for (const auto& decided : next.Orders()) {
@@ -491,30 +493,30 @@
   CHECK(next.leader.OldRunsSettled());
 }
 
-// Ten times the workers: where each question looked at all of them, a leader decided ten times
-// slower, and a burst that it served at a hundred workers was late at a thousand.
-TEST_CASE("whom to ask about in a large pool is found without looking at all of it") {
+// If each advice query visited every worker, a leader would decide ten times slower with ten times
+// the workers: a burst that it served at 100 workers was late at 1,000.
+TEST_CASE("advice candidates in a large pool are found without visiting every worker") {
   constexpr std::size_t kWorkers = 2'000;
   constexpr std::size_t kJobs = 50;
-  constexpr std::uint64_t kMostLooks = 256;
-  bench_top top{kWorkers};
-  auto advised = top.leader.configuration();
+  constexpr std::uint64_t kMaxVisitsPerQuery = 256;
+  scheduler_fixture fixture{kWorkers};
+  auto advised = fixture.leader.configuration();
   ++advised.version;
   advised.queues[0].advice = advice_cost{milliseconds{39}, milliseconds{1}, milliseconds{2'500}};
-  top.leader.Configure(advised, top.now);
+  fixture.leader.Configure(advised, fixture.now);
   const auto asked = [&](const std::string& prefix) {
     for (std::size_t at = 0; at < kJobs; ++at) {
-      (void)top.Submit(prefix + std::to_string(at), 4);
+      (void)fixture.Submit(prefix + std::to_string(at), 4);
     }
-    (void)top.Store();
-    const auto before = top.leader.Counts(top.now).worker_looks;
-    top.leader.Schedule(top.now);
+    (void)fixture.Store();
+    const auto before = fixture.leader.Counts(fixture.now).worker_looks;
+    fixture.leader.Schedule(fixture.now);
     std::vector<advice_query> queries;
-    for (auto& each : top.leader.TakeOrders()) {
+    for (auto& each : fixture.leader.TakeOrders()) {
       queries.push_back(std::get<advice_query>(std::move(each)));
     }
     REQUIRE(queries.size() == kJobs);
-    CHECK(top.leader.Counts(top.now).worker_looks - before <= kJobs * kMostLooks);
+    CHECK(fixture.leader.Counts(fixture.now).worker_looks - before <= kJobs * kMaxVisitsPerQuery);
     return queries;
   };
   SECTION("most are empty") {
@@ -523,34 +525,34 @@
     }
   }
   SECTION("one alone has room") {
-    // All others are taken by runs that the leader found there.
+    // Fill all other workers with runs before the queue requires advice.
     advised.queues[0].advice.reset();
     ++advised.version;
-    top.leader.Configure(advised, top.now);
-    (void)top.Submit("fills", kWorkers - 1, 4'000);
-    (void)top.Store();
+    fixture.leader.Configure(advised, fixture.now);
+    (void)fixture.Submit("fills", kWorkers - 1, 4'000);
+    (void)fixture.Store();
     std::set<std::string> free;
     for (std::size_t at = 0; at < kWorkers; ++at) {
       free.insert("w" + std::to_string(at));
     }
-    for (const auto& start : top.Starts()) {
+    for (const auto& start : fixture.Starts()) {
       free.erase(start.worker);
     }
     REQUIRE(free.size() == 1);
     advised.queues[0].advice = advice_cost{milliseconds{39}, milliseconds{1}, milliseconds{2'500}};
     ++advised.version;
-    top.leader.Configure(advised, top.now);
+    fixture.leader.Configure(advised, fixture.now);
     for (const auto& query : asked("late-")) {
       CHECK(query.workers.front() == *free.begin());
     }
   }
 }
 
-// The newest record of a job is lost with its leader: it says that the first step goes on, while a
-// worker already runs the second. When that run is lost, too, the second step has to wait for the
-// first one again.
-TEST_CASE("a run that is lost doesn't open its step before its turn") {
-  bench_top top;
+// The newest record of a job is lost with its leader. The stored one says that the first step is
+// still running, while a worker already runs the second. When that run is lost too, the second step
+// must wait for the first again.
+TEST_CASE("a lost run doesn't make its step ready before the preceding step is done") {
+  scheduler_fixture fixture;
   job_spec job;
   job.id = "a";
   job.queue = kQueue;
@@ -564,13 +566,13 @@
   }
   job.steps[1].after = {0};
   job.objective = seconds{10};
-  (void)top.leader.Submit(job, top.now);
-  top.Keep();
-  successor next{top};
+  (void)fixture.leader.Submit(job, fixture.now);
+  fixture.SaveRecords();
+  new_leader next{fixture};
   worker_report runs_second;
   runs_second.running = {{"a.0.1.0", 1, {}, 10, 0}};
-  next.Answers("w0", runs_second);
-  next.Answers("w1");
+  next.AddWorker("w0", runs_second);
+  next.AddWorker("w1");
   next.leader.OnWatchFailed("w0", watch_failure::kOtherLife, next.now);
   for (int pass = 0; pass < 3; ++pass) {
     next.now.steady += milliseconds{60};
@@ -581,145 +583,145 @@
   }
 }
 
-// A successor reads a large cell: hundreds of workers answer one after another while old work waits
-// for the last of them. Where each answer had all that waits looked at anew, the successor had no
-// time left for its peers and was taken for dead.
-TEST_CASE("workers that answer a successor don't have all that waits looked at anew") {
+// In a large cell, hundreds of workers answer a new leader one after another while old work waits
+// for the last of them. When each answer caused a retry of every waiting step, the leader had no
+// time left for its peers, which considered it dead.
+TEST_CASE("worker answers to a new leader don't cause a retry of every waiting step") {
   constexpr std::size_t kWorkers = 400;
   constexpr int kJobs = 200;
-  constexpr milliseconds kApart{1};
+  constexpr milliseconds kAnswerInterval{1};
   constexpr int kAnswersPerPass = 4;
-  bench_top top{kWorkers};
+  scheduler_fixture fixture{kWorkers};
   for (int at = 0; at < kJobs; ++at) {
-    (void)top.Submit("j" + std::to_string(at), 1);
+    (void)fixture.Submit("j" + std::to_string(at), 1);
   }
-  top.Keep();
-  successor next{top};
+  fixture.SaveRecords();
+  new_leader next{fixture};
   std::size_t started = 0;
   for (std::size_t at = 0; at < kWorkers; ++at) {
-    next.now.steady += kApart;
-    next.Answers("w" + std::to_string(at));
+    next.now.steady += kAnswerInterval;
+    next.AddWorker("w" + std::to_string(at));
     if (at % kAnswersPerPass == 0) {
       started += next.Started().size();
     }
   }
-  // Each step now and then, and as the last workers settle.
-  constexpr auto kLooks = static_cast<std::uint64_t>(kWorkers * kApart / milliseconds{50});
-  CHECK(next.leader.Counts(next.now).placement_attempts <= kJobs * (kLooks + 4));
+  // Each step is retried every 50 ms and as the last workers settle.
+  constexpr auto kRetries =
+      static_cast<std::uint64_t>(kWorkers * kAnswerInterval / milliseconds{50});
+  CHECK(next.leader.Counts(next.now).placement_attempts <= kJobs * (kRetries + 4));
   started += next.Started().size();
   CHECK(started == kJobs);
 }
 
-// The process that asked for advice dies before it has the answer. The caller sees a job that is
-// accepted and never starts, with most of the room free.
-TEST_CASE("a question for advice that is never answered is asked again") {
-  bench_top top{1};
-  auto advised = top.leader.configuration();
+// The process that sent an advice query dies before it has the answer. Without a retry the caller's
+// job is accepted and never starts, with most of the capacity free.
+TEST_CASE("an unanswered advice query is sent again") {
+  scheduler_fixture fixture{1};
+  auto advised = fixture.leader.configuration();
   advised.version = 2;
   advised.queues[0].advice = advice_cost{milliseconds{20}, milliseconds{1}, seconds{2}};
-  top.leader.Configure(advised, top.now);
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto questions = [&] {
-    top.leader.Schedule(top.now);
-    const auto orders = top.leader.TakeOrders();
+  fixture.leader.Configure(advised, fixture.now);
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto count_queries = [&] {
+    fixture.leader.Schedule(fixture.now);
+    const auto orders = fixture.leader.TakeOrders();
     return std::ranges::count_if(
         orders, [](const auto& each) { return std::holds_alternative<advice_query>(each); });
   };
-  CHECK(questions() == 1);
-  top.Pass(scheduler_settings{}.advice_patience);
-  CHECK(questions() == 0);
-  top.Pass(milliseconds{30});
-  CHECK(questions() == 1);
-  CHECK(top.log.Has("event=advice_overdue"));
+  CHECK(count_queries() == 1);
+  fixture.AdvanceTime(scheduler_settings{}.advice_patience);
+  CHECK(count_queries() == 0);
+  fixture.AdvanceTime(milliseconds{30});
+  CHECK(count_queries() == 1);
+  CHECK(fixture.log.Has("event=advice_overdue"));
 }
 
-// Tasks that take half a worker each come to workers that no urgent queue uses. A share of each
-// worker kept for urgent work all the same leaves every second place empty, and callers wait.
-TEST_CASE("room for urgent work is kept only where a queue is urgent") {
-  const auto places = [](std::uint32_t other_priority) {
-    bench_top top{1};
-    auto rules = top.leader.configuration();
-    rules.version = 2;
-    rules.queues[0].priority = 1;
-    rules.queues.push_back(rules.queues[0]);
-    rules.queues[1].path_prefix = "/other/";
-    rules.queues[1].priority = other_priority;
-    top.leader.Configure(rules, top.now);
-    (void)top.Submit("a", 2, 2'000);
-    (void)top.Store();
-    return top.Starts().size();
+// Tasks need half a worker each, at workers that no urgent queue uses. Reserving a share of each
+// worker for urgent work would leave half of each worker idle while callers wait.
+TEST_CASE("capacity is reserved for urgent work only where a queue is urgent") {
+  const auto started_tasks = [](std::uint32_t other_priority) {
+    scheduler_fixture fixture{1};
+    auto made = fixture.leader.configuration();
+    made.version = 2;
+    made.queues[0].priority = 1;
+    made.queues.push_back(made.queues[0]);
+    made.queues[1].path_prefix = "/other/";
+    made.queues[1].priority = other_priority;
+    fixture.leader.Configure(made, fixture.now);
+    (void)fixture.Submit("a", 2, 2'000);
+    (void)fixture.Store();
+    return fixture.Starts().size();
   };
-  CHECK(places(1) == 2);
-  CHECK(places(0) == 1);
+  CHECK(started_tasks(1) == 2);
+  CHECK(started_tasks(0) == 1);
 }
 
 TEST_CASE("a leaving worker gets no new work") {
-  bench_top top{1};
+  scheduler_fixture fixture{1};
   worker_facts facts{"w0", "10.0.0.1:80",     "pool", "",        "", "",
                      {},   {4'000, 8'000, 0}, true,   seconds{5}};
-  top.leader.ObserveWorker(facts, top.now);
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  CHECK(top.Starts().empty());
+  fixture.leader.ObserveWorker(facts, fixture.now);
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  CHECK(fixture.Starts().empty());
 }
 
-// A caller asks why a job takes so long. Whoever is on call asks the leader, and must learn what it
-// waits for.
-TEST_CASE("what a job waits for can be told at every stage") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Submit("b", 12);
-  CHECK(top.leader.Explain("a", top.now).find("waits_for=store") != std::string::npos);
-  (void)top.Store();
-  CHECK(top.Starts().size() == 8);
-  CHECK(top.leader.Explain("a", top.now).find("waits_for=its_runs") != std::string::npos);
-  const auto room = top.leader.Explain("b", top.now);
+// An operator who looks into a slow job must learn from the leader what the job waits for.
+TEST_CASE("Explain names what a job waits for at every stage") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Submit("b", 12);
+  CHECK(fixture.leader.Explain("a", fixture.now).find("waits_for=store") != std::string::npos);
+  (void)fixture.Store();
+  CHECK(fixture.Starts().size() == 8);
+  CHECK(fixture.leader.Explain("a", fixture.now).find("waits_for=its_runs") != std::string::npos);
+  const auto room = fixture.leader.Explain("b", fixture.now);
   CHECK(room.find("waits_for=workers") != std::string::npos);
   CHECK(room.find("no_room=2 open=0") != std::string::npos);
-  CHECK(top.leader.Dump(top.now).find("step b.0.0 idle=5") != std::string::npos);
-  CHECK(top.leader.Explain("c", top.now).find("unknown") != std::string::npos);
-  (void)top.leader.Cancel("b", kQueue, top.now);
-  CHECK(top.leader.Explain("b", top.now).find("phase=cancelled") != std::string::npos);
+  CHECK(fixture.leader.Dump(fixture.now).find("step b.0.0 idle=5") != std::string::npos);
+  CHECK(fixture.leader.Explain("c", fixture.now).find("unknown") != std::string::npos);
+  (void)fixture.leader.Cancel("b", kQueue, fixture.now);
+  CHECK(fixture.leader.Explain("b", fixture.now).find("phase=cancelled") != std::string::npos);
 }
 
-TEST_CASE("how long jobs wait and take is noted once each") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  top.Pass(milliseconds{40});
-  const auto start = top.Starts().at(0);
-  top.Pass(milliseconds{500});
-  top.Report(start.worker, {{}, {{1, start.task, start.run, end_kind::kDone, ""}}});
-  const auto timings = top.leader.TakeTimings();
+TEST_CASE("the waiting time and duration of a job are recorded once each") {
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  fixture.AdvanceTime(milliseconds{40});
+  const auto start = fixture.Starts().at(0);
+  fixture.AdvanceTime(milliseconds{500});
+  fixture.Report(start.worker, {{}, {{1, start.task, start.run, end_kind::kDone, ""}}});
+  const auto timings = fixture.leader.TakeTimings();
   REQUIRE(timings.size() == 2);
   CHECK(timings[0] == job_timing{false, job_phase::kQueued, 0, milliseconds{40}});
   CHECK(timings[1] == job_timing{true, job_phase::kCompleted, 0, milliseconds{540}});
-  CHECK(top.leader.TakeTimings().empty());
+  CHECK(fixture.leader.TakeTimings().empty());
 }
 
 TEST_CASE("a newer leader at a worker ends all decisions") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto start = top.Starts().at(0);
-  top.leader.OnStartAnswer(start, start_outcome::kStaleFence, top.now);
-  CHECK(top.leader.Deposed());
-  CHECK(top.Starts().empty());
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto start = fixture.Starts().at(0);
+  fixture.leader.OnStartAnswer(start, start_outcome::kStaleFence, fixture.now);
+  CHECK(fixture.leader.Deposed());
+  CHECK(fixture.Starts().empty());
 }
 
 TEST_CASE("a cancelled job stops and is acknowledged once that is stored") {
-  bench_top top;
-  (void)top.Submit("a", 1);
-  (void)top.Store();
-  const auto start = top.Starts().at(0);
-  top.leader.OnStartAnswer(start, start_outcome::kStarted, top.now);
-  CHECK(top.leader.Cancel("a", kQueue, top.now) == cancel_verdict::kPending);
-  (void)top.Starts();
-  CHECK(top.stops.size() == 1);
-  (void)top.Store();
-  CHECK(top.leader.Cancel("a", kQueue, top.now) == cancel_verdict::kCancelled);
-  CHECK(top.leader.Cancel("b", kQueue, top.now) == cancel_verdict::kUnknown);
+  scheduler_fixture fixture;
+  (void)fixture.Submit("a", 1);
+  (void)fixture.Store();
+  const auto start = fixture.Starts().at(0);
+  fixture.leader.OnStartAnswer(start, start_outcome::kStarted, fixture.now);
+  CHECK(fixture.leader.Cancel("a", kQueue, fixture.now) == cancel_verdict::kPending);
+  (void)fixture.Starts();
+  CHECK(fixture.stops.size() == 1);
+  (void)fixture.Store();
+  CHECK(fixture.leader.Cancel("a", kQueue, fixture.now) == cancel_verdict::kCancelled);
+  CHECK(fixture.leader.Cancel("b", kQueue, fixture.now) == cancel_verdict::kUnknown);
 }
 
 }  // namespace rosearch::sched
