--- a/src/rosearch/cell/internal/node_callers.h
+++ b/src/rosearch/cell/internal/node_callers.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_NODE_CALLERS_H_
 #define ROSEARCH_CELL_INTERNAL_NODE_CALLERS_H_
 
-// How a caller's request reaches the leader. Included by node.h.
+// Forwarding of callers' requests to the leader. Included by node.h.
 
 #include "rosearch/cell/node.h"
 
@@ -9,25 +9,26 @@
 
 template <typename Ports>
 void node<Ports>::Take(http_call call, http_respond respond) {
-  const auto patience = Ports::CallerPatience(call.headers).value_or(kDefaultPatience);
+  const auto timeout = Ports::CallerPatience(call.headers).value_or(kDefaultPatience);
   const auto now = SteadyNow();
-  auto made = std::make_shared<forwarded>();
+  auto pending = std::make_shared<forwarded>();
   auto host = call.headers["host"];
   host = host.substr(0, host.rfind(':'));
   for (auto& letter : host) {
     letter = static_cast<char>(std::tolower(static_cast<unsigned char>(letter)));
   }
-  made->request = {std::move(call.method), std::move(host), std::move(call.path),
-                   std::move(call.body)};
-  made->taken_at = now;
-  made->answer_by = now + std::min(patience - kAnswerMargin, kForwardPatience);
-  made->refuse_at = now + kLeaderPatience;
-  made->respond = std::move(respond);
+  pending->request = {std::move(call.method), std::move(host), std::move(call.path),
+                      std::move(call.body)};
+  pending->taken_at = now;
+  pending->answer_by = now + std::min(timeout - kAnswerMargin, kForwardPatience);
+  pending->refuse_at = now + kLeaderPatience;
+  pending->respond = std::move(respond);
   ++under_way_;
-  Forward(made);
+  Forward(pending);
 }
 
-/// Other methods share one label: callers could otherwise fill the metrics with names of their own.
+/// Returns the metric label of an HTTP method. Unknown methods share one label, so that callers
+/// can't create an unlimited number of time series.
 inline std::string_view MethodLabel(std::string_view method) {
   const bool known = method == "POST" || method == "GET" || method == "DELETE";
   return known ? method : "other";
@@ -55,9 +56,9 @@
   }
   metrics_.Count(Labelled("rosearch_answers_total", "method", MethodLabel(call->request.method),
                           "status", std::to_string(answer.status)));
-  const bool asks = call->request.method == "GET";
+  const bool is_query = call->request.method == "GET";
   log_.Write(
-      LineAbout(*call, "call_answered", asks ? event_weight::kDetail : event_weight::kRequest)
+      LineAbout(*call, "call_answered", is_query ? event_weight::kDetail : event_weight::kRequest)
           .Add("status", answer.status)
           .Add("retry_after_s", answer.retry_after_s)
           .Add("took_ms", SteadyNow() - call->taken_at));
@@ -75,7 +76,7 @@
     return;
   }
   if (now >= call->answer_by) {
-    // A leader may have taken the job in: only the caller's next try will tell.
+    // A leader may have accepted the job, so this is no refusal; the caller finds out by retrying.
     log_.Write(LineAbout(*call, "call_unanswered", event_weight::kFailure)
                    .Add("known_epoch", election_.Known().epoch));
     Finish(call, {504, {}, 0, false});
@@ -88,8 +89,8 @@
 template <typename Ports>
 void node<Ports>::Forward(const std::shared_ptr<forwarded>& call) {
   const auto now = SteadyNow();
-  const auto left = call->answer_by - now;
-  const auto take = [this, call](const caller_answer& answer) {
+  const auto time_left = call->answer_by - now;
+  const auto on_answer = [this, call](const caller_answer& answer) {
     if (answer.not_leading) {
       call->unsure = call->unsure || answer.status == kMayBeStored;
       ForwardLater(call);
@@ -98,10 +99,11 @@
     }
   };
   if (leader_ && leader_->Serving()) {
-    leader_->Handle(call->request, left, take);
+    leader_->Handle(call->request, time_left, on_answer);
     return;
   }
-  if (leader_ || election_.Known().epoch == 0 || left <= duration{} || !election_.Reaches(now)) {
+  if (leader_ || election_.Known().epoch == 0 || time_left <= duration{} ||
+      !election_.Reaches(now)) {
     ForwardLater(call);
     return;
   }
@@ -112,31 +114,32 @@
   sent.set_host(call->request.host);
   sent.set_path(call->request.path);
   sent.set_body(call->request.body);
-  sent.set_time_left_ms(Millis(left));
+  sent.set_time_left_ms(Millis(time_left));
   log_.Write(LineAbout(*call, "call_forwarded", event_weight::kDetail)
                  .Add("leader", election_.Known().address)
                  .Add("epoch", election_.Known().epoch)
                  .Add("heard_ms_ago", now - election_.HeardAt())
-                 .Add("left_ms", left));
-  constexpr duration kOneTry = std::chrono::milliseconds{1'000};
-  peers_.Ask(election_.Known().address, std::move(frame), std::min(call->answer_by, now + kOneTry),
-             [this, call, take](const wire::peer_frame* answer) {
-               if (answer == nullptr) {
-                 call->unsure = true;
-                 ForwardLater(call);
-                 return;
-               }
-               const auto& said = answer->answer();
-               take({said.status(), said.body(), said.retry_after_s(), said.not_leading()});
-             });
+                 .Add("left_ms", time_left));
+  constexpr duration kAttemptTimeout = std::chrono::milliseconds{1'000};
+  peers_.Ask(
+      election_.Known().address, std::move(frame), std::min(call->answer_by, now + kAttemptTimeout),
+      [this, call, on_answer](const wire::peer_frame* answer) {
+        if (answer == nullptr) {
+          call->unsure = true;
+          ForwardLater(call);
+          return;
+        }
+        const auto& reply = answer->answer();
+        on_answer({reply.status(), reply.body(), reply.retry_after_s(), reply.not_leading()});
+      });
 }
 
 template <typename Ports>
 void node<Ports>::AnswerCall(const wire::peer_frame& frame) {
-  wire::peer_frame asker;
-  asker.set_exchange(frame.exchange());
-  asker.set_from(frame.from());
-  const auto reply = [this, asker](const caller_answer& answer) {
+  wire::peer_frame origin;
+  origin.set_exchange(frame.exchange());
+  origin.set_from(frame.from());
+  const auto reply = [this, origin](const caller_answer& answer) {
     wire::peer_frame sent;
     sent.set_epoch(election_.Known().epoch);
     auto& body = *sent.mutable_answer();
@@ -144,7 +147,7 @@
     body.set_body(answer.body);
     body.set_retry_after_s(answer.retry_after_s);
     body.set_not_leading(answer.not_leading);
-    peers_.Answer(asker, std::move(sent));
+    peers_.Answer(origin, std::move(sent));
   };
   if (!leader_) {
     reply({503, {}, 0, true});
--- a/src/rosearch/cell/internal/node_leadership.h
+++ b/src/rosearch/cell/internal/node_leadership.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_NODE_LEADERSHIP_H_
 #define ROSEARCH_CELL_INTERNAL_NODE_LEADERSHIP_H_
 
-// How a process of a cell finds its leader, and becomes it. Included by node.h.
+// Leader discovery, claims of leadership and handover. Included by node.h.
 
 #include "rosearch/cell/node.h"
 
@@ -37,9 +37,9 @@
 }
 
 template <typename Ports>
-void node<Ports>::TickAfter(duration pause) {
-  tick_due_ = SteadyNow() + pause;
-  tick_timer_.expires_after(pause);
+void node<Ports>::TickAfter(duration delay) {
+  tick_due_ = SteadyNow() + delay;
+  tick_timer_.expires_after(delay);
   tick_timer_.async_wait([this](const boost::system::error_code& failed) {
     if (!failed) {
       Tick();
@@ -62,9 +62,10 @@
   Tick();
 }
 
-/// A process that was killed, or whose machine has just been started again, leaves nobody behind
-/// who listens; its machine then refuses connections. That is sure, unlike silence, so nobody need
-/// wait.
+/// Connects to the leader's address to check whether anything listens there. If the leader's
+/// process was killed or its machine has just restarted, the connection is refused. Unlike missing
+/// answers, this proves that the leader is gone, so the takeover starts without waiting for a
+/// timeout.
 template <typename Ports>
 void node<Ports>::Knock() {
   const auto epoch = election_.Known().epoch;
@@ -73,25 +74,25 @@
     return;
   }
   auto socket = std::make_shared<boost::asio::ip::tcp::socket>(io_);
-  auto patience = std::make_shared<boost::asio::steady_timer>(io_, kKnockPatience);
-  patience->async_wait([socket, patience](const boost::system::error_code&) {
+  auto timer = std::make_shared<boost::asio::steady_timer>(io_, kKnockPatience);
+  timer->async_wait([socket, timer](const boost::system::error_code&) {
     boost::system::error_code ignored;
     socket->close(ignored);
   });
-  socket->async_connect(*endpoint,
-                        [this, epoch, socket, patience](const boost::system::error_code& failed) {
-                          patience->cancel();
-                          const bool gone = failed == boost::asio::error::connection_refused;
-                          if (!gone || Leading() || stopping_ || epoch != election_.Known().epoch) {
-                            return;
-                          }
-                          log_.Write(event_line{"leader_gone", event_weight::kBelief}
-                                         .Add("epoch", epoch)
-                                         .Add("leader", election_.Known().address)
-                                         .Add("cause", "connection_refused"));
-                          election_.OnLeaderLeaving(epoch);
-                          Tick();
-                        });
+  socket->async_connect(
+      *endpoint, [this, epoch, socket, timer](const boost::system::error_code& failed) {
+        timer->cancel();
+        const bool refused = failed == boost::asio::error::connection_refused;
+        if (!refused || Leading() || stopping_ || epoch != election_.Known().epoch) {
+          return;
+        }
+        log_.Write(event_line{"leader_gone", event_weight::kBelief}
+                       .Add("epoch", epoch)
+                       .Add("leader", election_.Known().address)
+                       .Add("cause", "connection_refused"));
+        election_.OnLeaderLeaving(epoch);
+        Tick();
+      });
 }
 
 template <typename Ports>
@@ -100,15 +101,17 @@
   if (!election_.Leaving()) {
     AskPeersForLeader();
   }
-  // Claims that hang on a silent store are carried out in any order once it is back. Where the
-  // small processes had sent theirs too, one of them led a cell that took more than its processor.
+  // Claims that are pending while the store is unavailable are applied in any order once it is
+  // back. Small processes therefore don't claim then: one could win a cell that needs more than its
+  // processor.
   const bool small = settings_.processor_milli < kLargeProcess;
   if (small && now - claims_read_at_ >= kClaimsFresh) {
     return;
   }
-  // Whether a peer hears the leader went into the election as its answer came.
-  const bool agreed = election_.Leaving() || now - asked_all_at_ < kWordFresh;
-  if (election_.ShouldClaim(now) && agreed) {
+  // A peer that reaches the leader was reported to the election when its answer arrived, so here it
+  // only matters that the query has completed.
+  const bool peers_agree = election_.Leaving() || now - asked_all_at_ < kWordFresh;
+  if (election_.ShouldClaim(now) && peers_agree) {
     Claim();
   }
 }
@@ -126,16 +129,16 @@
 std::vector<std::string> node<Ports>::LargeMembers() const {
   std::vector<std::string> large;
   for (const auto& [address, each] : members_) {
-    if (each.heard && each.facts.processor_milli() >= kLargeProcess) {
+    if (each.has_pinged && each.facts.processor_milli() >= kLargeProcess) {
       large.push_back(address);
     }
   }
   return large;
 }
 
-// The load that this answers: most processes die at once, the leader among them. Its successor took
-// their places for relays, and gave each of thousands of workers a connection of its own when none
-// of them answered.
+// Handles the loss of most processes at once, including the leader. The new leader would otherwise
+// choose dead processes as relays and, when none of them answers, open a connection of its own to
+// each of thousands of workers.
 template <typename Ports>
 duration node<Ports>::WatchPause() const {
   const auto& scheduler = settings_.leading.scheduler;
@@ -162,7 +165,7 @@
   std::vector<std::string> helpers{std::string{}};
   for (const auto& [address, each] : members_) {
     addresses.push_back(address);
-    if (each.heard) {
+    if (each.has_pinged) {
       helpers.push_back(address);
     }
   }
@@ -195,8 +198,8 @@
   peers_.Tell(address, std::move(frame));
 }
 
-// The load that this answers: all processes are killed at once, and small ones are back first. One
-// of them then led thousands of workers with a tenth of a processor, and callers waited for
+// Handles a restart of all processes in which the small ones are back first. Without the offer, one
+// of them would lead thousands of workers with a tenth of a processor, and callers would wait for
 // seconds.
 template <typename Ports>
 void node<Ports>::OfferToLarger() {
@@ -216,7 +219,7 @@
                  .Add("to", larger.size())
                  .Add("processor_milli", settings_.processor_milli)
                  .Add("workers", leader_->Workers()));
-  // Only they are told: this process leads on until one of them has claimed.
+  // Only larger peers are notified; this process keeps leading until one of them has claimed.
   for (const auto& address : larger) {
     TellGoodbye(address, leader_->epoch());
   }
@@ -224,7 +227,8 @@
 
 template <typename Ports>
 void node<Ports>::Announce() {
-  // Peers that still follow another leader, or none, learn of this one without the store.
+  // Peers that still follow another leader, or none, learn of this leader without reading the
+  // store.
   const auto now = SteadyNow();
   for (const auto& [address, each] : members_) {
     if (now - each.seen_at > PingEvery(each.facts.processor_milli()) * 2) {
@@ -248,12 +252,12 @@
     wire::peer_frame answer;
     answer.set_epoch(election_.Known().epoch);
     const auto now = SteadyNow();
-    const bool hears = election_.Hears(now) || Leading();
+    const bool reaches_leader = election_.Hears(now) || Leading();
     const auto ago = Leading() ? duration{} : now - election_.HeardAt();
     auto& view = *answer.mutable_view();
-    view.set_heard(hears && !stopping_);
+    view.set_heard(reaches_leader && !stopping_);
     view.set_leader(election_.Known().address);
-    view.set_heard_ms_ago(hears ? Millis(ago) : 0);
+    view.set_heard_ms_ago(reaches_leader ? Millis(ago) : 0);
     peers_.Answer(frame, std::move(answer));
   } else if (frame.has_notice()) {
     if (frame.notice().resigning()) {
@@ -356,20 +360,20 @@
   }
   const leadership claimed{offset + 1, claim.member().address(), claim.member().name(),
                            claim.incarnation()};
-  const bool mine = claim.incarnation() == incarnation_ && claimed.address == peers_.address();
-  const bool news = claimed.epoch > election_.Known().epoch;
+  const bool own = claim.incarnation() == incarnation_ && claimed.address == peers_.address();
+  const bool is_newer = claimed.epoch > election_.Known().epoch;
   AdoptLeadership(claimed);
-  if (mine && news && !stopping_) {
+  if (own && is_newer && !stopping_) {
     Lead(claimed.epoch);
   } else if (claimed.address == peers_.address() && claim.incarnation() != incarnation_) {
-    // An earlier life of this process led: nobody does now.
+    // An earlier incarnation of this process led, so there is no leader now.
     election_.OnLeaderLeaving(claimed.epoch);
   }
 }
 
-// The load that this answers: hundreds of processes doubt one leader at the same moment. Where each
-// asked all others, the small ones had no time left for anything else, answered late, and leader
-// after leader was taken for dead.
+// Handles hundreds of processes that suspect the same leader at once. If each of them asked all
+// others, the small processes would be overloaded and answer late, and each new leader would in
+// turn be declared dead.
 template <typename Ports>
 std::vector<std::string> node<Ports>::PeersToAsk() const {
   std::vector<std::string> others;
@@ -402,20 +406,20 @@
                    .Add("peers", members_.size()));
   }
   asking_peers_ = true;
-  auto open = std::make_shared<std::size_t>(asked.size());
+  auto pending = std::make_shared<std::size_t>(asked.size());
   for (const auto& address : asked) {
     wire::peer_frame frame;
     frame.set_epoch(election_.Known().epoch);
     frame.mutable_query();
     peers_.Ask(address, std::move(frame), now + kQueryPatience,
-               [this, open, now](const wire::peer_frame* answer) {
-                 const bool hears = answer != nullptr && answer->view().heard() &&
-                                    answer->epoch() >= election_.Known().epoch;
-                 if (hears) {
+               [this, pending, now](const wire::peer_frame* answer) {
+                 const bool reaches_leader = answer != nullptr && answer->view().heard() &&
+                                             answer->epoch() >= election_.Known().epoch;
+                 if (reaches_leader) {
                    const std::chrono::milliseconds ago{answer->view().heard_ms_ago()};
                    election_.OnPeerHeard(SteadyNow() - ago);
                  }
-                 if (--*open == 0) {
+                 if (--*pending == 0) {
                    asking_peers_ = false;
                    asked_all_at_ = now;
                  }
@@ -441,7 +445,7 @@
   ports_.Append(stream::kClaims, {JoinKeyed({"leader", bytes})}, std::nullopt, claims_next_,
                 [this, bytes](const append_answer& answer) {
                   claiming_ = false;
-                  // Without an answer, reading the log of claims tells who won.
+                  // After a lost answer, `FollowClaims` finds out whose claim won.
                   if (answer.outcome == append_outcome::kStored) {
                     OnClaim(bytes, answer.offset);
                   }
@@ -471,7 +475,7 @@
                                             std::move(hooks));
   for (auto& [address, each] : members_) {
     each.seen_at = SteadyNow();
-    each.heard = false;
+    each.has_pinged = false;
   }
   ++members_version_;
   PublishPingReply();
--- a/src/rosearch/cell/internal/node_pings.h
+++ b/src/rosearch/cell/internal/node_pings.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_NODE_PINGS_H_
 #define ROSEARCH_CELL_INTERNAL_NODE_PINGS_H_
 
-// How the processes of a cell hear their leader and learn of one another. Included by node.h.
+// Pings to the leader and distribution of the member list. Included by node.h.
 
 #include "rosearch/cell/node.h"
 
@@ -92,9 +92,9 @@
   return frame;
 }
 
-// A leader with more to do than it has time for would answer its peers late and be taken for dead;
-// its successor has to read all workers first, which is more work yet. So the word that it leads
-// doesn't wait behind its work.
+// An overloaded leader would answer pings late and be declared dead, and its successor would have
+// even more work, as it first has to read all workers. The reply is therefore prepared here and
+// sent by the transport's thread, so that it doesn't queue behind the event loop's work.
 template <typename Ports>
 void node<Ports>::PublishPingReply() {
   if (leader_->epoch() != election_.Known().epoch) {
@@ -120,9 +120,9 @@
     peers_.Answer(frame, std::move(answer));
     return;
   }
-  const auto [known, fresh] = members_.try_emplace(ping.member().address());
+  const auto [known, inserted] = members_.try_emplace(ping.member().address());
   known->second = {ping.member(), SteadyNow(), true};
-  members_version_ += fresh ? 1 : 0;
+  members_version_ += inserted ? 1 : 0;
   if (frame.epoch() == leader_->epoch()) {
     leader_->OnPeerSign();
   }
--- a/src/rosearch/cell/internal/node_views.h
+++ b/src/rosearch/cell/internal/node_views.h
@@ -1,7 +1,7 @@
 #ifndef ROSEARCH_CELL_INTERNAL_NODE_VIEWS_H_
 #define ROSEARCH_CELL_INTERNAL_NODE_VIEWS_H_
 
-// What a process of a cell shows to people. Included by node.h.
+// Dumps and metrics of a process of a cell. Included by node.h.
 
 #include "rosearch/cell/node.h"
 
--- a/src/rosearch/cell/node.h
+++ b/src/rosearch/cell/node.h
@@ -30,9 +30,9 @@
 
 namespace rosearch::cell {
 
-/// One process of a cell: takes callers' requests to the leader, takes part in choosing it, leads
-/// when its claim wins, and makes exchanges for peers that can't.
-/// @tparam Ports  what is outside; see `cell_ports`.
+/// One process of a cell: forwards callers' requests to the leader, takes part in leader election,
+/// runs the leader when its claim wins, and relays requests to workers for its peers.
+/// @tparam Ports  access to the store, the workers and the wire formats; see `cell_ports`.
 template <typename Ports>
 class node {
  public:
@@ -55,14 +55,14 @@
     DescribeCellMetrics(metrics_);
   }
 
-  /// Begins to look for the leader.
+  /// Starts reading the claims and pinging the seeds to find the leader.
   void Begin() {
     SetSeeds(settings_.seeds);
     FindNewestClaim();
     Tick();
   }
 
-  /// Names processes that may know the leader.
+  /// Sets the addresses that are pinged while no leader is known; this process's own is ignored.
   void SetSeeds(const std::vector<std::string>& seeds) {
     seeds_.clear();
     for (const auto& seed : seeds) {
@@ -72,17 +72,17 @@
     }
   }
 
-  /// Takes one request of a caller.
+  /// Handles one request of a caller: serves it here if this process leads, else forwards it.
   void Take(http_call call, http_respond respond);
 
-  /// @return whether the balancer should send callers here.
+  /// @return whether the load balancer should send callers' requests to this process.
   [[nodiscard]] bool Ready() const {
     const auto now = SteadyNow();
     return !stopping_ && limits_known_ && now - heard_at_ < kReadyFor;
   }
 
-  /// Stops being ready, and hands leadership over: this process leads on until another has claimed,
-  /// so that callers wait for the takeover only, not for the election before it.
+  /// Stops being ready and, on the leader, starts the handover. The leader keeps leading until a
+  /// peer has claimed leadership, so callers wait only for the takeover, not for the election.
   void Stop() {
     stopping_ = true;
     if (!leader_) {
@@ -97,90 +97,95 @@
       }
     });
   }
-  /// @return whether nothing here is still owed to anybody.
+  /// @return whether this process doesn't lead and has no caller's request in flight.
   [[nodiscard]] bool Idle() const { return !leader_ && under_way_ == 0; }
 
-  /// The connection to a peer broke.
+  /// Handles the loss of the connection to a peer.
   void OnConnectionBroken(const std::string& peer);
 
-  /// Takes a message of a peer.
+  /// Handles a message of a peer.
   void Receive(const wire::peer_frame& frame);
 
-  /// @return the limits towards callers that the leader last told.
+  /// @return the limits on callers' connections and requests last received from the leader.
   [[nodiscard]] const sched::client_limits& limits() const { return limits_; }
 
   [[nodiscard]] std::string Dump() const;
-  /// @return where a job stands and what it waits for; at a process that doesn't lead, who does.
+  /// @return the state of a job and what it waits for; on a process that doesn't lead, `Dump()`,
+  ///         which names the leader.
   [[nodiscard]] std::string Explain(std::string_view job) const;
-  /// Puts what is counted elsewhere into the metrics.
+  /// Copies values that are counted outside `metric_set` into the metrics.
   void FillMetrics();
 
  private:
   struct member {
     wire::cell_member facts;
-    time_point seen_at{};  ///< by this process or, as a list that was told says, by its leader
-    bool heard{false};     ///< by this process since it leads
+    time_point seen_at{};    ///< last ping received here, or arrival of the leader's member list
+    bool has_pinged{false};  ///< this process has received a ping from it since it began to lead
   };
-  /// A caller's request on its way to the leader.
+  /// A caller's request that is being forwarded to the leader.
   struct forwarded {
     caller_request request;
     time_point taken_at{};
     time_point answer_by{};
-    time_point refuse_at{};  ///< without a leader until then it is refused
+    time_point refuse_at{};  ///< refused then with 503 unless a leader was found
     http_respond respond;
-    bool unsure{false};  ///< a leader may have acted on it
+    bool unsure{false};  ///< a leader may have processed it, so it can't be refused
   };
 
-  /// Processes with less, in thousandths of a processor, let others lead: a leader of 350 workers
-  /// needs about a fifth of a processor.
+  /// Processes with fewer thousandths of a processor than this claim later than larger ones: a
+  /// leader of 350 workers needs about a fifth of a processor.
   static constexpr std::uint32_t kLargeProcess = 200;
-  /// Balancers ask once a second and take two misses; a change of leader alone takes less.
+  /// A process without an answer of the leader for this long isn't ready. Load balancers probe once
+  /// a second and tolerate two failed probes; a leader change alone takes less than this.
   static constexpr duration kReadyFor = std::chrono::milliseconds{2'500};
   static constexpr duration kTick = std::chrono::milliseconds{100};
-  /// While the leader is in doubt, when every moment counts.
+  /// Shorter interval while the leader is suspected to have failed, to speed up the takeover.
   static constexpr duration kDoubtTick = std::chrono::milliseconds{30};
   static constexpr duration kPingEvery = std::chrono::milliseconds{200};
-  /// Small processes claim later anyway, and most processes are small: pinged by each of them as
-  /// often, the leader of a large cell would be busy with little else.
+  /// Small processes claim later anyway, so they need not detect a failed leader as fast. Most
+  /// processes are small: at `kPingEvery` the leader of a large cell would spend most of its time
+  /// on their pings.
   static constexpr duration kSmallPingEvery = std::chrono::milliseconds{500};
-  /// Peers that a process in doubt asks whether they hear the leader. With a fifth of them cut off
-  /// from the leader in the same way, all of so many are once in 10^11 times.
+  /// Number of peers asked whether they reach the leader before it is replaced. With a fifth of all
+  /// peers cut off from the leader, all 16 that are asked are cut off once in 10^11 cases.
   static constexpr std::size_t kPeersAsked = 16;
-  /// An offer of leadership that nobody took up is made again after this.
+  /// An offer of leadership that no larger process has accepted is repeated after this.
   static constexpr duration kOfferAgain = std::chrono::milliseconds{2'000};
-  /// Peers that live are heard of within 0.2 s of a change of leader; until then workers are read
-  /// at a pace that leaves time and descriptors for everything else.
+  /// Pause between slices of watched workers while no relay is known. Live peers ping a new leader
+  /// within 0.2 s; until then the pause leaves processor time and descriptors for other work.
   static constexpr duration kUnrelayedPause = std::chrono::milliseconds{20};
-  /// About twice what asking some workers takes, so that the thread that answers peers gets its
-  /// share of a small processor, too.
+  /// Pause between slices of watched workers with relays. About twice as long as sending one slice
+  /// takes, so that the thread that answers peers also gets its share of a small processor.
   static constexpr duration kRelayedPause = std::chrono::milliseconds{10};
-  /// Between two lists of members that peers are told. Where hundreds of processes join at once,
-  /// each of them would otherwise get all others anew with every ping.
+  /// Minimum interval between updates of the member list that is sent to peers. Without it, when
+  /// hundreds of processes join at once, each would receive the whole list with every ping.
   static constexpr duration kPublishEvery = std::chrono::milliseconds{1'000};
-  /// A leader whose loop hasn't turned for so long stands still, whatever its other thread says.
+  /// Validity of a prepared ping reply. The transport's thread sends it while the event loop is
+  /// busy; after this time without a renewal the loop is considered stuck and pings get no prepared
+  /// reply.
   static constexpr duration kPingReplyLife = std::chrono::milliseconds{2'500};
   static constexpr duration kPingPatience = std::chrono::milliseconds{600};
-  /// A member that said nothing for so long is not asked for help.
+  /// A leader removes members that have not pinged it for this long, so it doesn't ask them for
+  /// help.
   static constexpr duration kMemberFresh = std::chrono::milliseconds{1'500};
-  /// A refusal of a connection comes within a round trip.
+  /// A refused connection is reported within one round trip.
   static constexpr duration kKnockPatience = std::chrono::milliseconds{250};
-  /// A leader that is to stop and finds no successor within this stops all the same.
+  /// A stopping leader resigns after this even if no peer has claimed leadership.
   static constexpr duration kHandoverPatience = std::chrono::milliseconds{1'500};
   static constexpr duration kClaimsWait = std::chrono::milliseconds{1'000};
-  /// A store that answers brings a read of the claims within `kClaimsWait` and what it takes
-  /// itself.
+  /// A store that responds completes a read of the claims within `kClaimsWait` plus its own
+  /// latency; an older read means that the store doesn't respond.
   static constexpr duration kClaimsFresh = std::chrono::milliseconds{2'000};
   static constexpr duration kClaimsRetry = std::chrono::milliseconds{200};
   static constexpr duration kQueryPatience = std::chrono::milliseconds{150};
-  /// So long the peers' word counts that none of them hears the leader.
+  /// For how long the peers' answers that none of them reaches the leader stay valid.
   static constexpr duration kWordFresh = std::chrono::milliseconds{450};
-  /// A request that finds no leader is refused after this: about what a change of leader takes
-  /// where the old one said goodbye, and less than the second after which a refused caller comes
-  /// back.
+  /// A request for which no leader is found is refused after this. It is about as long as a leader
+  /// change after a resignation, and shorter than the 1 s after which a refused caller retries.
   static constexpr duration kLeaderPatience = std::chrono::milliseconds{600};
   static constexpr duration kForwardAgain = std::chrono::milliseconds{40};
   static constexpr duration kForwardPatience = std::chrono::milliseconds{2'600};
-  /// Answers are given a little before the caller stops waiting.
+  /// Answers are sent this long before the caller's timeout.
   static constexpr duration kAnswerMargin = std::chrono::milliseconds{60};
   static constexpr duration kDefaultPatience = std::chrono::seconds{3};
 
@@ -201,39 +206,39 @@
   }
 
   void Tick();
-  void TickAfter(duration pause);
+  void TickAfter(duration delay);
   void Knock();
   void Ping();
   void OnPong(const wire::peer_frame& frame);
   void Announce();
   void SayGoodbye(std::uint64_t epoch);
   void TellGoodbye(const std::string& address, std::uint64_t epoch);
-  /// Hands the leadership of many workers over to a larger process, once there is one.
+  /// Offers leadership to larger processes if this one is small and leads many workers.
   void OfferToLarger();
-  /// @return large processes that this leader has heard.
+  /// @return the large processes that have pinged this leader since it began to lead.
   [[nodiscard]] std::vector<std::string> LargeMembers() const;
   void FindNewestClaim();
   void FollowClaims();
   void OnClaim(const std::string& bytes, std::uint64_t offset);
   void AdoptLeadership(const leadership& claimed);
   void ClaimIfNobodyLeads();
-  /// @return the peers that are asked whether they hear the leader, the same in each round: a
-  ///         message to a peer without a connection yet is lost.
+  /// @return the peers that are asked whether they reach the leader. They are the same in each
+  ///         round, because a message to a peer without an open connection is lost.
   [[nodiscard]] std::vector<std::string> PeersToAsk() const;
   void AskPeersForLeader();
   void Claim();
   void Lead(std::uint64_t epoch);
   void UpdatePeers();
-  /// @return the peers that carry this leader's exchanges with workers.
+  /// @return the peers that relay this leader's requests to workers.
   [[nodiscard]] std::vector<std::string> Relays() const;
-  /// @return how long this leader waits before it watches some more workers.
+  /// @return how long this leader waits before it watches the next slice of workers.
   [[nodiscard]] duration WatchPause() const;
   void AnswerPing(const wire::peer_frame& frame);
-  /// @return what this process, which leads, says to a ping; without the members.
+  /// @return the leader's reply to a ping, without the member list.
   [[nodiscard]] wire::peer_frame Pong() const;
-  /// @return the same with them.
+  /// @return the leader's reply to a ping, with the member list.
   [[nodiscard]] wire::peer_frame PongWithMembers() const;
-  /// Renews the reply to pings by which peers see that this process leads, also while it is busy.
+  /// Renews the prepared ping reply, which is sent even while the event loop is busy.
   void PublishPingReply();
   void WithdrawPingReply() {
     peers_.SetPingReply(nullptr, {});
@@ -244,7 +249,7 @@
   void Forward(const std::shared_ptr<forwarded>& call);
   void ForwardLater(const std::shared_ptr<forwarded>& call);
   void Finish(const std::shared_ptr<forwarded>& call, const caller_answer& answer);
-  /// @return a line about a caller's request, with the job's id where it has one.
+  /// @return a log line about a caller's request, with the job's id if the path names one.
   [[nodiscard]] static event_line LineAbout(const forwarded& call, std::string_view event,
                                             event_weight weight);
 
@@ -264,7 +269,7 @@
   std::vector<std::string> seeds_;
   std::map<std::string, member> members_;  ///< by address, without this process
   std::uint64_t members_version_{0};
-  std::uint64_t published_members_{0};  ///< version that replies to pings list; 0: none
+  std::uint64_t published_members_{0};  ///< version of the list in ping replies; 0: none
   time_point published_at_{};
   sched::client_limits limits_;
   bool limits_known_{false};
@@ -277,9 +282,10 @@
   time_point tick_due_{};
   time_point asked_peers_at_{};
   time_point claims_read_at_{};
-  time_point offered_at_{};         ///< when a larger process was last asked to lead
-  std::uint64_t doubted_epoch_{0};  ///< the newest leadership in doubt of which a line was written
-  time_point asked_all_at_{};  ///< when the peers were asked who have all answered since, or not
+  time_point offered_at_{};         ///< when leadership was last offered to larger processes
+  std::uint64_t doubted_epoch_{0};  ///< the newest epoch for which `leader_doubted` was logged
+  /// Start of the last completed query of peers, in which each has answered or timed out.
+  time_point asked_all_at_{};
   std::size_t under_way_{0};
 };
 
--- a/src/rosearch/cell/peer_choice.cc
+++ b/src/rosearch/cell/peer_choice.cc
@@ -7,14 +7,14 @@
 namespace rosearch::cell {
 namespace {
 
-/// A leader of no more workers than this needs no help with them.
-constexpr std::size_t kRelayAbove = 150;
+/// A leader of at max_count this many workers uses no relays.
+constexpr std::size_t kMaxUnrelayedWorkers = 150;
 
-/// Connections that a relay holds and that its share of a processor serves.
-constexpr std::size_t kWorkersEach = 250;
+/// Number of worker connections that the processor share of one relay can serve.
+constexpr std::size_t kWorkersPerRelay = 250;
 
-/// With fewer, the loss of one would stop too large a part of all exchanges.
-constexpr std::size_t kFewestRelays = 4;
+/// With fewer relays, the loss of one would interrupt too many exchanges at once.
+constexpr std::size_t kMinRelays = 4;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 }
 
 std::vector<std::string> HighestRanked(std::vector<std::string> peers, std::string_view key,
-                                       std::size_t most) {
+                                       std::size_t max_count) {
   std::vector<std::pair<std::size_t, std::string>> ranked;
   ranked.reserve(peers.size());
   for (auto& peer : peers) {
@@ -34,7 +34,7 @@
     ranked.emplace_back(rank, std::move(peer));
   }
   std::ranges::sort(ranked, std::greater{});
-  ranked.resize(std::min(ranked.size(), most));
+  ranked.resize(std::min(ranked.size(), max_count));
   std::vector<std::string> chosen;
   chosen.reserve(ranked.size());
   for (auto& [rank, peer] : ranked) {
@@ -44,10 +44,10 @@
 }
 
 std::size_t RelaysFor(std::size_t workers) {
-  if (workers <= kRelayAbove) {
+  if (workers <= kMaxUnrelayedWorkers) {
     return 0;
   }
-  return std::max(kFewestRelays, (workers + kWorkersEach - 1) / kWorkersEach);
+  return std::max(kMinRelays, (workers + kWorkersPerRelay - 1) / kWorkersPerRelay);
 }
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/peer_choice.h
+++ b/src/rosearch/cell/peer_choice.h
@@ -8,18 +8,18 @@
 
 namespace rosearch::cell {
 
-/// @return how high a peer ranks for a key, the same at every process: of several peers the one
-///         that ranks highest is chosen, so that few choices change where a peer comes or goes.
+/// @return the rank of a peer for a key in rendezvous hashing, the same at every process. The peer
+///         with the highest rank is chosen, so few choices change when a peer joins or leaves.
 [[nodiscard]] std::size_t RankOf(std::string_view peer, std::string_view key);
 
 /// Chooses the peers that rank highest for a key.
-/// @param most  how many at most.
-/// @return the highest first; all where there are fewer.
+/// @param max_count  the maximum number of peers returned.
+/// @return the chosen peers, highest rank first; all of them if there are no more than `max_count`.
 [[nodiscard]] std::vector<std::string> HighestRanked(std::vector<std::string> peers,
-                                                     std::string_view key, std::size_t most);
+                                                     std::string_view key, std::size_t max_count);
 
-/// @return how many relays a leader of so many workers has; 0: it exchanges with them itself, at
-///         less cost in all.
+/// @return the number of relays for a leader of this many workers; 0: the leader contacts its
+///         workers itself, which costs less in total.
 [[nodiscard]] std::size_t RelaysFor(std::size_t workers);
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/ports.h
+++ b/src/rosearch/cell/ports.h
@@ -18,21 +18,21 @@
 
 namespace rosearch::cell {
 
-/// What a cell reads from the store, and writes there.
+/// The streams of the store that a cell reads or writes.
 enum class stream : std::uint8_t {
-  kClaims,         ///< ours: who claimed leadership; its newest record counts
-  kState,          ///< ours: jobs, and the workers that hold our leases
-  kConfiguration,  ///< the operator's
-  kWorkers,        ///< the workers' registry
+  kClaims,         ///< written by the cell: claims of leadership; the newest one is valid
+  kState,          ///< written by the cell: jobs, and the workers that hold its leases
+  kConfiguration,  ///< written by the operator
+  kWorkers,        ///< registry of the workers
 };
 
-/// What a watch of a worker brought.
+/// The result of watching a worker.
 struct watch_answer {
   std::optional<sched::worker_report> report;
-  sched::watch_failure failure{sched::watch_failure::kNoAnswer};  ///< without a report
+  sched::watch_failure failure{sched::watch_failure::kNoAnswer};  ///< valid only without a report
 };
 
-/// A request that came in on a caller's connection.
+/// An HTTP request received from a caller.
 struct caller_request {
   std::string method;
   std::string host;  ///< in lower case, without a port
@@ -43,22 +43,26 @@
 struct caller_answer {
   unsigned status{500};
   std::string body{};
-  std::uint32_t retry_after_s{0};  ///< 0: not said
-  bool not_leading{false};  ///< the leader is elsewhere; nothing was done but for `kMayBeStored`
+  std::uint32_t retry_after_s{0};  ///< 0: no `Retry-After` header
+  /// This process doesn't lead and didn't process the request, except possibly for `kMayBeStored`.
+  bool not_leading{false};
 };
 
-/// Status of an answer `not_leading` to a job whose record was on its way to the store as this
-/// process stopped leading: the next leader may find it there, so it must not be called refused.
+/// Status of a `not_leading` answer to a job whose append to the store was in flight when this
+/// process stopped leading. The next leader may find the record there, so the job must not be
+/// reported as refused.
 inline constexpr unsigned kMayBeStored = 504;
 
 using start_callback = std::function<void(sched::start_outcome)>;
-/// Gets whether the worker obeys, and whether it refused because it obeys a newer leader.
-using stop_callback = std::function<void(bool heard, bool stale_fence)>;
+/// Receives whether the worker acknowledged the stop, and whether it rejected it because its fence
+/// is older than that of a newer leader.
+using stop_callback = std::function<void(bool acknowledged, bool stale_fence)>;
 using watch_callback = std::function<void(watch_answer)>;
 using advice_callback = std::function<void(const std::vector<sched::advised_worker>*)>;
 
-/// Everything outside that a cell's processes talk to, in the product's own terms. All callbacks
-/// run once, on the thread of the io_context, never inside the call.
+/// Access of a cell's processes to the store, the workers and the formats of stored records, in the
+/// types of the scheduler. Each callback runs exactly once, on the thread of the io_context, and
+/// never inside the call.
 template <typename Ports>
 concept cell_ports = requires(Ports ports, stream which, const std::vector<std::string>& records,
                               const std::optional<writer_proof>& proof,
