--- a/src/rosearch/cell/advice_desk.cc
+++ b/src/rosearch/cell/advice_desk.cc
@@ -6,8 +6,8 @@
 namespace rosearch::cell {
 namespace {
 
-/// One of so many processes takes no long questions.
-constexpr std::size_t kUrgentOnlyShare = 3;
+/// One in this many helpers sends no long queries.
+constexpr std::size_t kHelpersPerUrgentOnlyHelper = 3;
 
 }  // namespace
 
@@ -17,29 +17,31 @@
     const auto known = std::ranges::find(helpers_, address, &helper::address);
     next.push_back({address, known != helpers_.end() ? known->busy_until : time_point{}});
   }
-  // A process that is busy and no longer named is dropped: its answer still comes or times out.
+  // Busy helpers that are no longer listed are dropped: their queries still end by an answer or a
+  // timeout.
   helpers_ = std::move(next);
 }
 
 void advice_desk::Add(sched::advice_query query, time_point now) {
   auto& queue = CostOf(query) > kLong ? long_ : urgent_;
   auto due = now + kPutOff * static_cast<int>(query.priority);
-  for (auto* const each : {&urgent_, &long_}) {
+  for (auto* const each_queue : {&urgent_, &long_}) {
     const auto same = [&](const waiting& other) { return other.query.step == query.step; };
-    if (const auto known = std::ranges::find_if(*each, same); known != each->end()) {
+    if (const auto known = std::ranges::find_if(*each_queue, same); known != each_queue->end()) {
       due = known->due;
-      each->erase(known);
+      each_queue->erase(known);
     }
   }
-  const auto place = std::ranges::upper_bound(queue, due, {}, &waiting::due);
-  queue.insert(place, {std::move(query), due});
+  const auto position = std::ranges::upper_bound(queue, due, {}, &waiting::due);
+  queue.insert(position, {std::move(query), due});
 }
 
-advice_desk::helper* advice_desk::FreeHelper(bool long_question, time_point now) {
+advice_desk::helper* advice_desk::FreeHelper(bool long_query, time_point now) {
   const auto urgent_only =
-      helpers_.size() > 1 ? std::max<std::size_t>(1, helpers_.size() / kUrgentOnlyShare) : 0;
+      helpers_.size() > 1 ? std::max<std::size_t>(1, helpers_.size() / kHelpersPerUrgentOnlyHelper)
+                          : 0;
   for (std::size_t at = 0; at < helpers_.size(); ++at) {
-    if (helpers_[at].busy_until <= now && (!long_question || at >= urgent_only)) {
+    if (helpers_[at].busy_until <= now && (!long_query || at >= urgent_only)) {
       return &helpers_[at];
     }
   }
@@ -52,10 +54,10 @@
       continue;
     }
     if (auto* const free = FreeHelper(queue == &long_, now)) {
-      assignment made{free->address, std::move(queue->front().query)};
-      free->busy_until = now + CostOf(made.query) + kAnswerGrace;
+      assignment assigned{free->address, std::move(queue->front().query)};
+      free->busy_until = now + CostOf(assigned.query) + kAnswerGrace;
       queue->pop_front();
-      return made;
+      return assigned;
     }
   }
   return std::nullopt;
--- a/src/rosearch/cell/advice_desk.h
+++ b/src/rosearch/cell/advice_desk.h
@@ -12,19 +12,20 @@
 
 namespace rosearch::cell {
 
-/// Deals questions for advice out to the processes of the cell.
+/// Distributes advice queries over the processes of the cell.
 ///
-/// The service answers one question at a time for each process that asks; one for long work takes
-/// half a second, one for urgent work 25 ms. Asked by one process alone, 30 steps a second would
-/// queue for more than a second. So every process asks, and a share of them never takes a long
-/// question: an urgent step waits behind urgent ones only.
+/// The advice service answers one query at a time per calling process. A query for long work takes
+/// half a second, one for urgent work 25 ms. Through a single process, 30 steps per second would
+/// queue for more than a second. Every process of the cell therefore serves as a helper that sends
+/// queries, and a share of the helpers never sends long queries, so that urgent queries never
+/// suffer head-of-line blocking by long ones.
 ///
-/// Each question is due at a moment that its priority puts off, and the one that is due first goes
-/// first. By priority alone, steps that ask again each time their tickets expire kept the questions
-/// of the least priority back for ever: 130 of them, for 30 s and more, on a replayed day.
+/// Queries are sent in the order of their due time: the time of arrival plus a delay per level of
+/// priority. Strict priority order starves the lowest priority, because steps query again each time
+/// their tickets expire: on a replayed day, 130 queries waited for 30 s and more.
 class advice_desk {
  public:
-  /// Who asks what.
+  /// A query and the helper that sends it.
   struct assignment {
     std::string helper;
     sched::advice_query query;
@@ -32,31 +33,32 @@
     friend bool operator==(const assignment&, const assignment&) = default;
   };
 
-  /// Names the processes that may ask; the first is this one.
+  /// Sets the addresses of the processes that may send queries; the first is this process.
   void SetHelpers(const std::vector<std::string>& helpers);
 
-  /// Queues a question. One of the same step that still waits here is replaced by it, and the new
-  /// one takes its place in the order.
+  /// Queues a query. It replaces a queued query of the same step and keeps that query's due time.
   void Add(sched::advice_query query, time_point now);
 
-  /// @return the next question that a free process can ask; nothing where there is none.
+  /// @return the next query that a free helper can send; empty if there is none.
   [[nodiscard]] std::optional<assignment> Next(time_point now);
 
-  /// A process has its answer, or gave up.
+  /// Marks a helper as free after its query was answered or timed out.
   void Done(const std::string& helper);
 
+  /// @return the number of queued queries.
   [[nodiscard]] std::size_t Waiting() const { return urgent_.size() + long_.size(); }
 
-  /// A question that costs more than this is a long one; between the two kinds of the load above.
+  /// A query with a higher cost is long. Lies between the costs of urgent work (25 ms) and long
+  /// work (half a second).
   static constexpr duration kLong = std::chrono::milliseconds{120};
 
-  /// Each step of priority puts a question off by this: about as long as a long one takes, so that
-  /// one that is under way already keeps a more urgent one no longer than that.
+  /// Delay of the due time per level of priority. Matches the duration of a long query, because a
+  /// query in flight can hold up a more urgent one for that long anyway.
   static constexpr duration kPutOff = std::chrono::milliseconds{600};
 
-  /// A process whose answer hasn't come so long after the service must have given it is taken for
-  /// free again: an answer that is lost on its way keeps nobody out for ever. Beyond the 0.84 s
-  /// that the exchange itself is given.
+  /// Grace period after the expected duration of a query. A helper that has not answered by then
+  /// counts as free again, so that a lost answer does not block it for good. Longer than the
+  /// timeout of the exchange itself, 0.84 s.
   static constexpr duration kAnswerGrace = std::chrono::milliseconds{1'200};
 
  private:
@@ -69,7 +71,7 @@
     time_point due{};
   };
   using queue = std::deque<waiting>;
-  [[nodiscard]] helper* FreeHelper(bool long_question, time_point now);
+  [[nodiscard]] helper* FreeHelper(bool long_query, time_point now);
 
   std::vector<helper> helpers_;
   queue urgent_;
@@ -78,4 +80,4 @@
 
 }  // namespace rosearch::cell
 
-#endif  // ROSEARCH_CELL_ADVICE_DESK_H_
+#endif  // ROSEARCH_CELL_ADVICE_DISPATCHER_H_
--- a/src/rosearch/cell/peer_link.cc
+++ b/src/rosearch/cell/peer_link.cc
@@ -10,38 +10,38 @@
 namespace rosearch::cell {
 namespace {
 
-/// Longer than any question is repeated.
-constexpr duration kRemember = std::chrono::seconds{4};
+/// How long received requests are kept for deduplication. Longer than any request is repeated.
+constexpr duration kDeduplicationRetention = std::chrono::seconds{4};
 
-/// A process that just started must hear its leader well before it suspects it: with the kernel's
-/// own patience for a first packet that is lost, two restarted processes claimed leadership beside
-/// a sound leader.
-constexpr peer_transport_options kTransport{std::chrono::milliseconds{1'000},
-                                            std::chrono::milliseconds{250},
-                                            std::chrono::milliseconds{100}};
+/// A process that has just started must connect to its leader well before it suspects the leader.
+/// With the kernel's default connection timeout, the loss of a first packet made two restarted
+/// processes claim leadership although the leader was healthy.
+constexpr peer_transport_options kTransportOptions{std::chrono::milliseconds{1'000},
+                                                   std::chrono::milliseconds{250},
+                                                   std::chrono::milliseconds{100}};
 
-/// @return whether acting upon a question twice would do harm. What is only read is answered anew:
-///         kept for seconds, the answers to the pings of hundreds of peers took all memory.
-bool HarmsTwice(const wire::peer_frame& question) {
-  const bool only_read = question.has_ping() || question.has_query();
-  return question.exchange() != 0 && !question.once() && !only_read;
+/// @return whether a request must not be executed twice. Read-only requests are executed again:
+///         keeping the answers to pings of hundreds of peers for seconds exhausted the memory.
+bool NeedsDeduplication(const wire::peer_frame& request) {
+  const bool read_only = request.has_ping() || request.has_query();
+  return request.exchange() != 0 && !request.once() && !read_only;
 }
 
-std::string KeyOf(const wire::peer_frame& question) {
-  return question.from() + '#' + std::to_string(question.exchange());
+std::string DeduplicationKey(const wire::peer_frame& request) {
+  return request.from() + '#' + std::to_string(request.exchange());
 }
 
 }  // namespace
 
-peer_link::peer_link(boost::asio::io_context& io, const std::string& address, std::uint64_t life,
-                     receive on_message, broken on_broken)
+peer_link::peer_link(boost::asio::io_context& io, const std::string& address,
+                     std::uint64_t incarnation, receive on_message, broken on_broken)
     : io_{io},
       on_message_{std::move(on_message)},
       on_broken_{std::move(on_broken)},
-      next_exchange_{life},
+      next_exchange_{incarnation},
       collect_timer_{io} {
   transport_ = std::make_unique<peer_transport>(
-      address, [this](const std::string& bytes) { HandOver(bytes); }, kTransport,
+      address, [this](const std::string& bytes) { HandOver(bytes); }, kTransportOptions,
       [this, alive = std::weak_ptr<bool>{alive_}](const std::string& to) {
         boost::asio::post(io_, [this, alive, to] {
           if (!alive.expired() && on_broken_) {
@@ -61,7 +61,7 @@
 }
 
 std::uint64_t peer_link::NextExchange() {
-  next_exchange_ += next_exchange_ + 1 == 0 ? 2 : 1;  // 0 marks a message that asks nothing
+  next_exchange_ += next_exchange_ + 1 == 0 ? 2 : 1;  // 0 marks a message that expects no answer
   return next_exchange_;
 }
 
@@ -108,12 +108,13 @@
 }
 
 void peer_link::Wait(std::uint64_t exchange) {
-  auto& asked = *questions_[exchange];
-  const bool repeats = asked.frame.exchange() != 0;
-  const auto next = repeats ? std::min(asked.answer_by, SteadyNow() + kRepeat) : asked.answer_by;
-  asked.timer.expires_after(next - SteadyNow());
-  asked.timer.async_wait([this, exchange, alive = std::weak_ptr<bool>{alive_}](
-                             const boost::system::error_code& failed) {
+  auto& pending = *questions_[exchange];
+  const bool repeats = pending.frame.exchange() != 0;
+  const auto next =
+      repeats ? std::min(pending.answer_by, SteadyNow() + kRepeat) : pending.answer_by;
+  pending.timer.expires_after(next - SteadyNow());
+  pending.timer.async_wait([this, exchange, alive = std::weak_ptr<bool>{alive_}](
+                               const boost::system::error_code& failed) {
     if (failed || alive.expired()) {
       return;
     }
@@ -147,35 +148,35 @@
   }
 }
 
-void peer_link::Answer(const wire::peer_frame& question, wire::peer_frame answer) {
-  answer.set_exchange(question.exchange());
+void peer_link::Answer(const wire::peer_frame& request, wire::peer_frame answer) {
+  answer.set_exchange(request.exchange());
   answer.set_from(address());
-  if (question.once()) {
-    Collect(question.from(), std::move(answer));
+  if (request.once()) {
+    Collect(request.from(), std::move(answer));
     return;
   }
   auto bytes = answer.SerializeAsString();
-  const auto known = answers_.find(KeyOf(question));
-  if (known != answers_.end()) {
-    known->second = bytes;
+  const auto stored = answers_.find(DeduplicationKey(request));
+  if (stored != answers_.end()) {
+    stored->second = bytes;
   }
-  transport_->Send(question.from(), std::move(bytes));
+  transport_->Send(request.from(), std::move(bytes));
 }
 
-bool peer_link::IsRepeat(const wire::peer_frame& question) {
+bool peer_link::IsRepeat(const wire::peer_frame& request) {
   const auto now = SteadyNow();
   while (!received_.empty() && received_.front().forget_at <= now) {
     answers_.erase(received_.front().key);
     received_.pop_front();
   }
-  auto key = KeyOf(question);
-  const auto [known, fresh] = answers_.try_emplace(key);
-  if (fresh) {
-    received_.push_back({std::move(key), now + kRemember});
-  } else if (!known->second.empty()) {
-    transport_->Send(question.from(), known->second);
+  auto key = DeduplicationKey(request);
+  const auto [stored, is_new] = answers_.try_emplace(key);
+  if (is_new) {
+    received_.push_back({std::move(key), now + kDeduplicationRetention});
+  } else if (!stored->second.empty()) {
+    transport_->Send(request.from(), stored->second);
   }
-  return !fresh;
+  return !is_new;
 }
 
 void peer_link::SetPingReply(std::unique_ptr<wire::peer_frame> reply, time_point until) {
@@ -219,7 +220,7 @@
 void peer_link::HandOver(const std::string& bytes) {
   auto frame = std::make_shared<wire::peer_frame>();
   if (!frame->ParseFromString(bytes)) {
-    return;  // from a stranger: whoever asked asks again, and nothing hangs on one message
+    return;  // malformed, not from a peer; no exchange depends on a single message
   }
   if (frame->has_ping()) {
     ReplyToPing(*frame);
@@ -241,8 +242,8 @@
   const bool is_answer =
       frame.has_pong() || frame.has_view() || frame.has_answer() || frame.has_relayed();
   if (!is_answer) {
-    const bool repeat = HarmsTwice(frame) && IsRepeat(frame);
-    if (!repeat) {
+    const bool is_duplicate = NeedsDeduplication(frame) && IsRepeat(frame);
+    if (!is_duplicate) {
       on_message_(frame);
     }
     return;
@@ -251,9 +252,9 @@
   if (found == questions_.end()) {
     return;
   }
-  const auto asked = std::move(found->second);
+  const auto pending = std::move(found->second);
   questions_.erase(found);
-  asked->done(&frame);
+  pending->done(&frame);
 }
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/peer_link.h
+++ b/src/rosearch/cell/peer_link.h
@@ -18,24 +18,26 @@
 
 namespace rosearch::cell {
 
-/// Questions and answers between the processes of a cell. All calls and callbacks run on the
-/// thread of the io_context; the transport's own thread reads messages, answers pings with the
-/// reply that it was given, and hands the messages over.
+/// Requests and answers between the processes of a cell. All calls and callbacks run on the thread
+/// of the io_context. The transport's own thread reads messages, answers pings with the reply set
+/// by `SetPingReply`, and posts the messages to the io_context.
 class peer_link {
  public:
-  /// Gets the answer, or nothing where none came in time.
+  /// Receives the answer, or null if none arrived before the deadline.
   using answer_callback = std::function<void(const wire::peer_frame*)>;
-  /// Takes a message that answers no question of ours.
+  /// Receives a message that is not an answer to a request of this process.
   using receive = std::function<void(const wire::peer_frame&)>;
-  /// Gets the address of a watched peer whose connection broke.
+  /// Receives the address of the watched peer after its connection was lost.
   using broken = std::function<void(const std::string&)>;
 
-  /// @param address  host:port to bind.
-  /// @param life     drawn at random at each start of the process. Questions are numbered from it:
-  ///                 a restarted process that counted from 1 again would get the answers that peers
-  ///                 remember for its former life, and tell a caller that a job was accepted which
-  ///                 nobody has ever seen.
-  peer_link(boost::asio::io_context& io, const std::string& address, std::uint64_t life,
+  /// @param address      host:port to bind.
+  /// @param incarnation  random number drawn at each start of the process. Requests are numbered
+  ///                     from it. A restarted process that counted from 1 again would receive
+  ///                     answers that peers stored for its former incarnation, and could report a
+  ///                     job as accepted that no leader has received.
+  /// @param on_message   called for each message that is not an answer.
+  /// @param on_connection_lost  called after the connection to the watched peer was lost.
+  peer_link(boost::asio::io_context& io, const std::string& address, std::uint64_t incarnation,
             receive on_message, broken on_broken = {});
   ~peer_link();
   peer_link(const peer_link&) = delete;
@@ -44,48 +46,53 @@
   /// Sends a message that expects no answer.
   void Tell(const std::string& to, wire::peer_frame frame);
 
-  /// Sends a question. It is sent again every `kRepeat` until it is answered: a message to a peer
-  /// whose connection is just being made is dropped.
+  /// Sends a request and repeats it every `kRepeat` until it is answered, because the transport
+  /// drops messages to a peer while the connection is being established.
+  /// @param deadline  time after which `done` is called with null.
   void Ask(const std::string& to, wire::peer_frame frame, time_point answer_by,
            answer_callback done);
 
-  /// Sends a question once, together with others to the same peer: for what is cheaper to lose than
-  /// to repeat. Its answer comes the same way.
+  /// Sends a request once, bundled with other messages to the same peer. For requests that are
+  /// cheaper to lose than to repeat. The answer is bundled as well.
+  /// @param deadline  time after which `done` is called with null.
   void AskOnce(const std::string& to, wire::peer_frame frame, time_point answer_by,
                answer_callback done);
 
-  /// Ends all questions to a peer that is gone without an answer. Whoever asked can turn elsewhere
-  /// at once: a caller's request that was on its way to a leader waited for a second longer.
+  /// Ends all pending requests to a failed peer by calling their callbacks with null, so that the
+  /// senders can try another peer at once. Otherwise a request forwarded to a failed leader waits a
+  /// second longer.
   void Abandon(const std::string& to);
 
-  /// Watches the connection to one peer, instead of that to the one before.
+  /// Watches the connection to one peer; replaces the peer watched before.
   void WatchConnection(const std::string& to) { transport_->WatchConnection(to); }
 
-  /// Answers a question.
-  void Answer(const wire::peer_frame& question, wire::peer_frame answer);
+  /// Answers a request. Stores the answer to a deduplicated request, to send it again if the
+  /// request is repeated.
+  void Answer(const wire::peer_frame& request, wire::peer_frame answer);
 
-  /// Lets the transport's own thread answer pings of peers that follow the same leadership: a
-  /// process that has more to do than it has time for is late, not dead, and must not look so.
-  /// @param reply  a pong; null: this process no longer leads.
-  /// @param until  then the thread that should have renewed it stands still.
+  /// Sets the reply with which the transport's own thread answers pings of the same epoch, so that
+  /// an overloaded leader still answers its peers and is not suspected of failure.
+  /// @param reply  a pong; null if this process no longer leads.
+  /// @param until  expiry of the reply. A reply that was not renewed by then means that the thread
+  ///               of the io_context makes no progress.
   void SetPingReply(std::unique_ptr<wire::peer_frame> reply, time_point until);
-  /// Names the members that replies to pings list for peers that hold another list.
-  /// @param members  a pong with members and their version.
+  /// Sets the member list that is added to the ping reply for peers with another version of it.
+  /// @param members  a pong with the members and their version.
   void SetPingMembers(std::unique_ptr<wire::peer_frame> members);
-  /// @return whether the transport's thread answers a ping.
+  /// @return whether the transport's thread answers this ping.
   [[nodiscard]] bool RepliesTo(const wire::peer_frame& ping) const;
 
-  /// @return questions of peers that are remembered, so that none is acted upon twice.
+  /// @return the number of received requests kept for deduplication.
   [[nodiscard]] std::size_t Remembered() const { return received_.size(); }
 
-  /// @return host:port that is bound.
+  /// @return the bound host:port.
   [[nodiscard]] const std::string& address() const;
 
-  /// Between two sendings of a question. Three times the round trip across failure domains on a
-  /// slow day, so that an answer that is under way is rarely asked for twice.
+  /// Interval at which an unanswered request is sent again. Three times a slow round trip across
+  /// failure domains, so that requests with an answer in flight are rarely repeated.
   static constexpr duration kRepeat = std::chrono::milliseconds{150};
 
-  /// What goes out in bundles is collected for so long.
+  /// Delay for which messages to the same peer are collected into one bundle.
   static constexpr duration kCollect = std::chrono::milliseconds{4};
 
  private:
@@ -96,39 +103,42 @@
     answer_callback done;
     boost::asio::steady_timer timer;
   };
-  /// What became of a question that was received.
+  /// A received request kept for deduplication.
   struct received {
     std::string key;
     time_point forget_at;
   };
   void Wait(std::uint64_t exchange);
   [[nodiscard]] std::uint64_t NextExchange();
-  /// Sends a message together with others to the same peer, a little later.
+  /// Adds a message to the bundle for a peer, which is sent after `kCollect`.
   void Collect(const std::string& to, wire::peer_frame frame);
   void SendCollected();
   [[nodiscard]] bool RepliesToLocked(const wire::peer_frame& ping) const;
-  /// Answers a ping on the transport's own thread, where there is a reply for it.
+  /// Answers a ping on the transport's own thread if a valid reply is set.
   void ReplyToPing(const wire::peer_frame& ping);
-  /// Takes a message on the transport's own thread.
+  /// Handles a message on the transport's own thread.
   void HandOver(const std::string& bytes);
   void Receive(const wire::peer_frame& frame);
-  [[nodiscard]] bool IsRepeat(const wire::peer_frame& question);
+  /// Records a received request, or sends the stored answer again if it is a duplicate.
+  /// @return whether the request is a duplicate.
+  [[nodiscard]] bool IsRepeat(const wire::peer_frame& request);
 
   boost::asio::io_context& io_;
   receive on_message_;
   broken on_broken_;
   std::uint64_t next_exchange_;
   std::unordered_map<std::uint64_t, std::unique_ptr<question>> questions_;
-  // A question that comes again is not acted upon again; where it was answered, the answer goes out
-  // again. Otherwise one lost answer would make a peer carry out an order twice.
-  std::unordered_map<std::string, std::string> answers_;  ///< by asker and number; empty: not yet
+  // A repeated request is not executed again: its stored answer is sent again, if there is one.
+  // Otherwise a lost answer would lead to an order being executed twice.
+  // Keyed by sender and request number; an empty value means not answered yet.
+  std::unordered_map<std::string, std::string> answers_;
   std::deque<received> received_;
-  std::unordered_map<std::string, wire::peer_frame> collected_;  ///< bundles by peer
+  std::unordered_map<std::string, wire::peer_frame> collected_;  ///< by peer
   boost::asio::steady_timer collect_timer_;
   std::shared_ptr<bool> alive_{std::make_shared<bool>(true)};
   mutable std::mutex reply_mutex_;
   std::unique_ptr<wire::peer_frame> ping_reply_;    ///< guarded by `reply_mutex_`, as the next two
-  std::unique_ptr<wire::peer_frame> ping_members_;  ///< unset: none are known
+  std::unique_ptr<wire::peer_frame> ping_members_;  ///< null until the members are known
   time_point ping_reply_until_{};
   std::unique_ptr<peer_transport> transport_;
 };
--- a/src/rosearch/cell/relayed_client.cc
+++ b/src/rosearch/cell/relayed_client.cc
@@ -10,40 +10,43 @@
 namespace rosearch::cell {
 namespace {
 
-/// A direct way that failed is tried again after this, beside a peer's.
-constexpr duration kTryDirectAgain = std::chrono::milliseconds{1'000};
+/// Interval at which a failed direct route is tried again, together with a peer.
+constexpr duration kDirectRetryInterval = std::chrono::milliseconds{1'000};
 
-/// A way that takes so many times as long as usual has probably failed. At four times, one answer
-/// in a hundred of a sound store was asked for twice.
-constexpr int kUnusual = 6;
+/// A route without an answer after this multiple of the usual answer time has probably failed. With
+/// 4, one request in a hundred to a healthy store was sent twice.
+constexpr int kHedgeDelayFactor = 6;
 
-/// Below this a busy process of our own is the likelier cause.
-constexpr duration kLeastPatience = std::chrono::milliseconds{60};
+/// Lower bound of the adaptive delay: below it, load on this process is the likelier cause.
+constexpr duration kMinHedgeDelay = std::chrono::milliseconds{60};
 
-/// What a target takes that was never asked: a guess, so that the first lost answer costs 0.24 s.
-constexpr duration kFirstUsual = std::chrono::milliseconds{40};
+/// Assumed answer time of a target without measurements. Limits the delay after a lost first answer
+/// to 0.24 s.
+constexpr duration kInitialAnswerTime = std::chrono::milliseconds{40};
 
-/// Share of the newest answer in what is usual: a target that turns slow is known after five.
-constexpr double kNewestShare = 0.2;
+/// Weight of the newest answer in the smoothed answer time. A target that turns slow is recognized
+/// after five answers.
+constexpr double kNewestAnswerWeight = 0.2;
 
-/// What was held up for longer, as after an outage, counts as this.
-constexpr duration kSlowest = std::chrono::milliseconds{400};
+/// Upper bound of a recorded answer time, so that answers delayed by an outage do not distort it.
+constexpr duration kMaxAnswerTime = std::chrono::milliseconds{400};
 
-/// An exchange that waits for another one's finding looks so often.
-constexpr duration kLookAgain = std::chrono::milliseconds{20};
+/// Interval at which an exchange checks whether the exchange that tries another route has ended.
+constexpr duration kProbeCheckInterval = std::chrono::milliseconds{20};
 
-/// A relay that didn't answer is left alone for so long; by then it is gone, or sound again.
-constexpr duration kRelayRests = std::chrono::milliseconds{2'000};
+/// How long a relay that did not answer is excluded. By then it has left the cell or has recovered.
+constexpr duration kRelayExclusion = std::chrono::milliseconds{2'000};
 
-/// A relay that answered something within this lives. Were one that is only late left alone, all
-/// its exchanges would go directly at once, and make the leader late, too.
-constexpr duration kRelaySilent = std::chrono::milliseconds{300};
+/// A relay that sent an answer within this time is alive and is not excluded. Excluding a relay
+/// that is only slow would move all its exchanges to the direct route at once and overload the
+/// leader.
+constexpr duration kRelaySilenceTimeout = std::chrono::milliseconds{300};
 
-/// What a message between processes may take beyond the exchange itself.
-constexpr duration kRelayMargin = std::chrono::milliseconds{40};
+/// Time for the messages between the processes, added to the timeout of a forwarded exchange.
+constexpr duration kPeerForwardingMargin = std::chrono::milliseconds{40};
 
-/// The same for a relay, which collects answers and has many others to make.
-constexpr duration kBusyRelayMargin = std::chrono::milliseconds{150};
+/// The same for a relay, which bundles its answers and makes many exchanges.
+constexpr duration kRelayForwardingMargin = std::chrono::milliseconds{150};
 
 bool IsRefusal(const result<http_reply>& answer) {
   return answer.has_value() && (answer.value().status == 429 || answer.value().status == 503);
@@ -80,62 +83,64 @@
 
 struct relayed_client::exchange {
   http_request request;
-  reach how;
+  reach options;
   http_callback done;
-  boost::asio::steady_timer next;  ///< when the next way is tried beside those under way
-  std::deque<way> ways;            ///< left to try
+  boost::asio::steady_timer hedge_timer;  ///< fires when the next route is due
+  std::deque<way> routes;                 ///< not tried yet
   std::vector<std::string> peers_tried{};
-  std::uint32_t under_way{0};
+  std::uint32_t in_flight{0};
   time_point last_tried_at{};
   bool direct_tried{false};
   bool direct_answered{false};
-  bool over{false};
-  bool may_have_arrived{false};  ///< one try was sent, and nobody knows what became of it
-  std::optional<result<http_reply>> last{};
+  bool ended{false};
+  bool may_have_arrived{false};  ///< an attempt was sent and its outcome is unknown
+  std::optional<result<http_reply>> last_failure{};
 
   void Finish(result<http_reply> answer) {
-    if (std::exchange(over, true)) {
+    if (std::exchange(ended, true)) {
       return;
     }
-    next.cancel();
+    hedge_timer.cancel();
     done(std::move(answer));
   }
 
-  [[nodiscard]] bool NothingTried() const { return !direct_tried && peers_tried.empty(); }
+  [[nodiscard]] bool IsFirstAttempt() const { return !direct_tried && peers_tried.empty(); }
 
-  /// @return whether a copy may be sent while another one is under way.
-  [[nodiscard]] bool Repeatable() const { return how.by_peer && how.patience > duration{}; }
+  /// @return whether a copy may be sent while another one is in flight.
+  [[nodiscard]] bool MayHedge() const { return options.by_peer && options.patience > duration{}; }
 
-  /// Keeps a try that brought no good answer.
-  void Keep(result<http_reply> answer) {
+  /// Records the answer of a failed attempt.
+  void RecordFailedAttempt(result<http_reply> answer) {
     may_have_arrived = may_have_arrived || (answer.has_error() && !WasNotSent(answer.error()));
-    last = std::move(answer);
+    last_failure = std::move(answer);
   }
 
-  /// Ends without a good answer. One refusal doesn't make up for another try that may still be
-  /// carried out: told as refused, a job would run that its caller was told never would.
+  /// Ends the exchange after all attempts failed. A refusal is reported only if no other attempt
+  /// may still be executed. Otherwise a job could run although its caller was told that it was
+  /// refused.
   void FinishFailed() {
-    if (may_have_arrived && (last->has_value() || WasNotSent(last->error()))) {
-      Finish(error{error_kind::kTimeout, "one try may have arrived"});
+    if (may_have_arrived && (last_failure->has_value() || WasNotSent(last_failure->error()))) {
+      Finish(error{error_kind::kTimeout, "no answer to an attempt that may have been executed"});
       return;
     }
-    Finish(std::move(*last));
+    Finish(std::move(*last_failure));
   }
 };
 
-void relayed_client::Send(http_request request, const reach& how, http_callback done) {
-  auto ways = WaysTo(request.address, how);
-  auto sent = std::make_shared<exchange>(exchange{std::move(request), how, std::move(done),
-                                                  boost::asio::steady_timer{io_}, std::move(ways)});
+void relayed_client::Send(http_request request, const reach& options, http_callback done) {
+  auto routes = WaysTo(request.address, options);
+  auto sent =
+      std::make_shared<exchange>(exchange{std::move(request), options, std::move(done),
+                                          boost::asio::steady_timer{io_}, std::move(routes)});
   TryNext(sent);
 }
 
 std::deque<relayed_client::way> relayed_client::WaysTo(const std::string& address,
-                                                       const reach& how) {
-  if (!how.by_peer) {
+                                                       const reach& options) {
+  if (!options.by_peer) {
     return {way::kDirect};
   }
-  if (how.by_relay && !relays_.empty()) {
+  if (options.by_relay && !relays_.empty()) {
     auto failed = unrelayed_.find(address);
     if (failed != unrelayed_.end() && SteadyNow() >= failed->second) {
       unrelayed_.erase(failed);
@@ -145,50 +150,52 @@
       return {way::kRelay, way::kDirect, way::kPeer};
     }
   }
-  const auto broken = broken_.find(address);
-  if (broken == broken_.end()) {
+  const auto direct_retry = broken_.find(address);
+  if (direct_retry == broken_.end()) {
     return {way::kDirect, way::kPeer, way::kPeer};
   }
-  // Whether a broken way is whole again is found out by what may be sent twice.
+  // Only requests that may be sent twice probe whether a failed direct route works again.
   const auto now = SteadyNow();
-  if (now < broken->second || how.patience == duration{}) {
+  if (now < direct_retry->second || options.patience == duration{}) {
     return {way::kPeer, way::kPeer, way::kDirect};
   }
-  broken->second = now + kTryDirectAgain;
+  direct_retry->second = now + kDirectRetryInterval;
   return {way::kDirect, way::kPeer, way::kPeer};
 }
 
 duration relayed_client::Patience(const exchange& sent) const {
   if (sent.direct_tried && broken_.contains(sent.request.address)) {
-    return {};  // the direct way is tried only to see whether it is whole again
+    return {};  // a failed direct route is only probed; the next one is tried at once
   }
-  auto patience = sent.how.patience;
-  if (sent.how.learns) {
+  auto patience = sent.options.patience;
+  if (sent.options.learns) {
     const auto known = usual_.find(sent.request.address);
-    const auto usual = known == usual_.end() ? kFirstUsual : known->second;
-    patience = std::clamp(usual * kUnusual, std::min(kLeastPatience, patience), patience);
+    const auto answer_time = known == usual_.end() ? kInitialAnswerTime : known->second;
+    patience =
+        std::clamp(answer_time * kHedgeDelayFactor, std::min(kMinHedgeDelay, patience), patience);
   }
-  return sent.how.wait + patience;
+  return sent.options.wait + patience;
 }
 
 void relayed_client::Learn(const exchange& sent, time_point sent_at) {
-  if (!sent.how.learns || sent.how.wait > duration{}) {
+  if (!sent.options.learns || sent.options.wait > duration{}) {
     return;
   }
-  const auto took = std::min<duration>(SteadyNow() - sent_at, kSlowest);
-  auto& usual = usual_.try_emplace(sent.request.address, kFirstUsual).first->second;
-  usual += std::chrono::duration_cast<duration>((took - usual) * kNewestShare);
+  const auto took = std::min<duration>(SteadyNow() - sent_at, kMaxAnswerTime);
+  auto& answer_time = usual_.try_emplace(sent.request.address, kInitialAnswerTime).first->second;
+  answer_time += std::chrono::duration_cast<duration>((took - answer_time) * kNewestAnswerWeight);
 }
 
 void relayed_client::TryNext(const std::shared_ptr<exchange>& sent) {
-  const auto broken = broken_.find(sent->request.address);
-  const bool first = sent->NothingTried();
+  const auto direct_retry = broken_.find(sent->request.address);
+  const bool first = sent->IsFirstAttempt();
   sent->last_tried_at = SteadyNow();
-  while (!sent->ways.empty()) {
-    const auto chosen = sent->ways.front();
-    sent->ways.pop_front();
-    // Kept connections may be why the way before brought nothing.
-    sent->request.fresh_connection = !first || (chosen == way::kDirect && broken != broken_.end());
+  while (!sent->routes.empty()) {
+    const auto chosen = sent->routes.front();
+    sent->routes.pop_front();
+    // A stale persistent connection may be the reason why the route before failed.
+    sent->request.fresh_connection =
+        !first || (chosen == way::kDirect && direct_retry != broken_.end());
     if (chosen == way::kDirect) {
       SendDirect(sent);
       TryNextAfter(sent, Patience(*sent));
@@ -202,33 +209,33 @@
       }
       continue;
     }
-    // Peers may have gone since the first way was tried.
+    // Peers may have left since the first route was tried.
     if (const auto peer = ChoosePeer(*sent); !peer.empty()) {
       SendByPeer(sent, peer);
       TryNextAfter(sent, Patience(*sent));
       return;
     }
   }
-  if (sent->under_way == 0 && sent->last) {
+  if (sent->in_flight == 0 && sent->last_failure) {
     sent->FinishFailed();
   }
 }
 
 void relayed_client::TryNextAfter(const std::shared_ptr<exchange>& sent, duration patience) {
-  if (!sent->Repeatable() || sent->ways.empty()) {
+  if (!sent->MayHedge() || sent->routes.empty()) {
     return;
   }
-  sent->next.expires_after(patience);
-  sent->next.async_wait([this, sent](const boost::system::error_code& failed) {
-    if (!failed && !sent->over) {
+  sent->hedge_timer.expires_after(patience);
+  sent->hedge_timer.async_wait([this, sent](const boost::system::error_code& failed) {
+    if (!failed && !sent->ended) {
       TryNextUnlessSlow(sent);
     }
   });
 }
 
-// A target that just turned slow looks like connections that went silent. If all that wait for it
-// were sent again, a store that takes 0.1 s for each append would never get through them. So one
-// exchange finds out for all.
+// A target that has just turned slow can't be told from a silent connection. Only one exchange per
+// target tries another route; the others wait for its result. If all were sent again, a store that
+// takes 0.1 s for each append would never catch up.
 void relayed_client::TryNextUnlessSlow(const std::shared_ptr<exchange>& sent) {
   const auto& address = sent->request.address;
   if (broken_.contains(address)) {
@@ -237,59 +244,60 @@
   }
   const auto waited = SteadyNow() - sent->last_tried_at;
   const auto patience = Patience(*sent);
-  auto& scout = scouts_[address];
-  const auto other = scout.lock();
+  auto& probe = scouts_[address];
+  const auto other = probe.lock();
   if (waited < patience) {
-    TryNextAfter(sent, patience - waited);  // the target was found to be slow meanwhile
-  } else if (other && other != sent && !other->over) {
-    TryNextAfter(sent, kLookAgain);
+    TryNextAfter(sent, patience - waited);  // the delay for this target grew meanwhile
+  } else if (other && other != sent && !other->ended) {
+    TryNextAfter(sent, kProbeCheckInterval);
   } else {
-    scout = sent;
+    probe = sent;
     TryNext(sent);
   }
 }
 
 void relayed_client::OnFailure(const std::shared_ptr<exchange>& sent, result<http_reply> answer) {
-  if (sent->over) {
+  if (sent->ended) {
     return;
   }
-  sent->Keep(std::move(answer));
-  if (!sent->ways.empty() && (sent->Repeatable() || !sent->may_have_arrived)) {
+  sent->RecordFailedAttempt(std::move(answer));
+  if (!sent->routes.empty() && (sent->MayHedge() || !sent->may_have_arrived)) {
     TryNext(sent);
-  } else if (sent->under_way == 0) {
+  } else if (sent->in_flight == 0) {
     sent->FinishFailed();
   }
 }
 
 void relayed_client::SendDirect(const std::shared_ptr<exchange>& sent) {
-  ++sent->under_way;
+  ++sent->in_flight;
   sent->direct_tried = true;
   const auto sent_at = SteadyNow();
   direct_.Send(sent->request, [this, sent, sent_at](result<http_reply> answer) {
-    --sent->under_way;
+    --sent->in_flight;
     sent->direct_answered = true;
     const auto& address = sent->request.address;
-    const bool refused = sent->how.refusal_may_be_ours && IsRefusal(answer);
+    const bool refused = sent->options.refusal_may_be_ours && IsRefusal(answer);
     if (answer.has_value() && !refused) {
-      // Also where a peer was quicker: this way is slow, not broken.
+      // Also if a peer answered first: the direct route is slow, but works.
       broken_.erase(address);
       Learn(*sent, sent_at);
       sent->Finish(std::move(answer));
       return;
     }
-    broken_[address] = SteadyNow() + kTryDirectAgain;
+    broken_[address] = SteadyNow() + kDirectRetryInterval;
     OnFailure(sent, std::move(answer));
   });
 }
 
 std::string relayed_client::RelayOf(const std::string& address) const {
-  // The relay that ranks highest for an address: where one goes, only its addresses move.
+  // The relay that ranks highest for an address (rendezvous hashing): when a relay leaves, only its
+  // addresses move.
   const auto now = SteadyNow();
   const std::string* best = nullptr;
   std::size_t best_rank = 0;
   for (const auto& relay : relays_) {
-    const auto rests = resting_.find(relay);
-    if (rests != resting_.end() && now < rests->second) {
+    const auto excluded = resting_.find(relay);
+    if (excluded != resting_.end() && now < excluded->second) {
       continue;
     }
     const auto rank = RankOf(relay, address);
@@ -301,35 +309,35 @@
   return best == nullptr ? std::string{} : *best;
 }
 
-// The load that this answers: a peer that carries exchanges with a hundred workers loses power.
-// Each of them would wait for its own time-out, and what ended there meanwhile be seen late.
+// Handles the power loss of a relay that makes exchanges with a hundred workers. Ends all of them
+// at once; otherwise each would wait for its own timeout, and ends of tasks would be noticed late.
 void relayed_client::RestRelay(const std::string& relay) {
   const auto now = SteadyNow();
   auto& until = resting_[relay];
   if (now < until) {
     return;
   }
-  until = now + kRelayRests;
+  until = now + kRelayExclusion;
   if (log_ != nullptr) {
     log_->Write(event_line{"relay_silent", event_weight::kBelief}
                     .Add("relay", relay)
-                    .Add("left_alone_ms", kRelayRests));
+                    .Add("left_alone_ms", kRelayExclusion));
   }
   peers_.Abandon(relay);
 }
 
 void relayed_client::SendByRelay(const std::shared_ptr<exchange>& sent, const std::string& relay) {
   sent->peers_tried.push_back(relay);
-  ++sent->under_way;
+  ++sent->in_flight;
   ++relayed_;
-  peers_.AskOnce(relay, ToWire(sent->request), sent->request.answer_by + kBusyRelayMargin,
+  peers_.AskOnce(relay, ToWire(sent->request), sent->request.answer_by + kRelayForwardingMargin,
                  [this, sent, relay](const wire::peer_frame* frame) {
-                   --sent->under_way;
+                   --sent->in_flight;
                    if (frame == nullptr) {
-                     if (SteadyNow() - relay_heard_[relay] >= kRelaySilent) {
+                     if (SteadyNow() - relay_heard_[relay] >= kRelaySilenceTimeout) {
                        RestRelay(relay);
                      }
-                     OnFailure(sent, error{error_kind::kTimeout, "no answer of the relay"});
+                     OnFailure(sent, error{error_kind::kTimeout, "relay did not answer"});
                      return;
                    }
                    relay_heard_[relay] = SteadyNow();
@@ -338,8 +346,8 @@
                      sent->Finish(std::move(answer));
                      return;
                    }
-                   // The relay may be cut off from this target alone.
-                   unrelayed_[sent->request.address] = SteadyNow() + kRelayRests;
+                   // The relay may be cut off from this target only.
+                   unrelayed_[sent->request.address] = SteadyNow() + kRelayExclusion;
                    OnFailure(sent, std::move(answer));
                  });
 }
@@ -353,7 +361,7 @@
       std::ranges::find(helpers_, known->second) != helpers_.end()) {
     return known->second;
   }
-  for (std::size_t looked_at = 0; looked_at < helpers_.size(); ++looked_at) {
+  for (std::size_t checked = 0; checked < helpers_.size(); ++checked) {
     const auto& peer = helpers_[next_helper_++ % helpers_.size()];
     if (untried(peer)) {
       return peer;
@@ -364,20 +372,20 @@
 
 void relayed_client::SendByPeer(const std::shared_ptr<exchange>& sent, const std::string& peer) {
   sent->peers_tried.push_back(peer);
-  ++sent->under_way;
+  ++sent->in_flight;
   const auto sent_at = SteadyNow();
   SendFrom(peer, sent->request, [this, sent, peer, sent_at](result<http_reply> answer) {
-    --sent->under_way;
+    --sent->in_flight;
     const auto& address = sent->request.address;
-    const bool refused = sent->how.refusal_may_be_ours && IsRefusal(answer);
+    const bool refused = sent->options.refusal_may_be_ours && IsRefusal(answer);
     if (answer.has_value() && !refused) {
       good_helper_[address] = peer;
       Learn(*sent, sent_at);
       const bool direct_silent = sent->direct_tried && !sent->direct_answered;
-      if (direct_silent && !sent->over) {
-        // Connections that went silent without a sign bring nothing more. Tried first for each
-        // exchange, they would hold up every batch of records.
-        broken_.try_emplace(address, SteadyNow() + kTryDirectAgain);
+      if (direct_silent && !sent->ended) {
+        // The connections were lost without an error. If they were still tried first, they would
+        // delay every batch of records.
+        broken_.try_emplace(address, SteadyNow() + kDirectRetryInterval);
       }
       sent->Finish(std::move(answer));
       return;
@@ -393,18 +401,18 @@
 void relayed_client::SendFrom(const std::string& peer, const http_request& request,
                               http_callback done) {
   ++relayed_;
-  peers_.Ask(peer, ToWire(request), request.answer_by + kRelayMargin,
+  peers_.Ask(peer, ToWire(request), request.answer_by + kPeerForwardingMargin,
              [done = std::move(done)](const wire::peer_frame* frame) {
                if (frame == nullptr) {
-                 done(error{error_kind::kTimeout, "no answer of the peer that was asked"});
+                 done(error{error_kind::kTimeout, "peer did not answer a forwarded request"});
                  return;
                }
                done(FromWire(frame->relayed()));
              });
 }
 
-void relayed_client::Serve(const wire::peer_frame& question) {
-  const auto& call = question.relay();
+void relayed_client::Serve(const wire::peer_frame& relay_request) {
+  const auto& call = relay_request.relay();
   http_request request;
   request.address = call.address();
   request.method = call.method();
@@ -418,9 +426,9 @@
   request.answer_by = SteadyNow() + std::chrono::milliseconds{call.time_left_ms()};
   request.valid_until = request.answer_by;
   wire::peer_frame asker;
-  asker.set_exchange(question.exchange());
-  asker.set_from(question.from());
-  asker.set_once(question.once());
+  asker.set_exchange(relay_request.exchange());
+  asker.set_from(relay_request.from());
+  asker.set_once(relay_request.once());
   direct_.Send(std::move(request), [this, asker](result<http_reply> answer) {
     wire::peer_frame frame;
     auto& relayed = *frame.mutable_relayed();
--- a/src/rosearch/cell/relayed_client.h
+++ b/src/rosearch/cell/relayed_client.h
@@ -18,32 +18,32 @@
 
 namespace rosearch::cell {
 
-/// How one exchange may reach its target.
+/// The routes that one exchange may take to its target.
 struct reach {
-  /// Whether a peer may make the exchange where this process can't. Only for what may be carried
-  /// out twice without harm.
+  /// Whether a peer may make the exchange if this process can't. Only for idempotent requests, or
+  /// with a `patience` of zero.
   bool by_peer{true};
-  /// Whether an answer of 429 or 503 may be meant for this process alone.
+  /// Whether an answer of 429 or 503 may concern this process alone, so that a peer tries as well.
   bool refusal_may_be_ours{false};
-  /// How long a way gets, beyond `wait`, before the next one is tried beside it; zero: another way
-  /// is tried only where those before certainly carried nothing. For orders whose refusal must mean
-  /// that no copy of them is under way.
+  /// Time without an answer, beyond `wait`, after which the request is also sent by the next route
+  /// (a hedged request). Zero: the next route is tried only if the request was certainly not sent
+  /// by the routes before. Needed for orders whose refusal must mean that no copy is in flight.
   duration patience{std::chrono::milliseconds{700}};
-  /// How long the target itself may keep its answer back.
+  /// How long the target itself may delay its answer (long polling).
   duration wait{};
-  /// Whether `patience` shrinks to a few times what this target usually takes. A connection that
-  /// went silent is then noticed in 0.06 s where the target answers in 5 ms, and a target that
-  /// answers in 0.5 s isn't asked twice for everything.
+  /// Whether `patience` is only an upper bound and adapts to a multiple of the usual answer time of
+  /// the target. A silent connection to a target that answers in 5 ms is then detected within 0.06
+  /// s, and a target that answers in 0.5 s does not receive each request twice.
   bool learns{false};
-  /// Whether a relay makes the exchange where there are any.
+  /// Whether a relay makes the exchange if relays are set.
   bool by_relay{false};
 
   friend bool operator==(const reach&, const reach&) = default;
 };
 
-/// HTTP exchanges that go by way of a peer where the direct way is broken. A process cut off from
-/// the store or from some workers, but not from its peers, would otherwise have to give up what it
-/// leads though nothing else is wrong.
+/// Sends HTTP requests directly or through a peer if the direct route fails. Without this, a leader
+/// that is cut off from the store or from some workers, but not from its peers, would have to give
+/// up leadership.
 class relayed_client {
  public:
   /// @param log  may be null.
@@ -51,49 +51,49 @@
                  event_sink* log = nullptr)
       : io_{io}, direct_{direct}, peers_{peers}, log_{log} {}
 
-  /// Names the peers that may be asked.
+  /// Sets the peers that may forward requests.
   void SetPeers(std::vector<std::string> peers) { helpers_ = std::move(peers); }
 
-  /// Names the relays: peers that make all exchanges which may go by a relay; empty: none. In a
-  /// large cell those with workers take most of a leader's processor, while its peers are idle.
+  /// Sets the relays: peers that make all exchanges that allow a relay; empty: none. In a large
+  /// cell the exchanges with workers use most of the leader's processor time, while its peers are
+  /// idle.
   void SetRelays(std::vector<std::string> relays) { relays_ = std::move(relays); }
 
-  /// @return whether there are relays.
   [[nodiscard]] bool HasRelays() const { return !relays_.empty(); }
 
-  /// Sends a request; the callback runs once, on the thread of the io_context. The answer of a peer
-  /// carries no headers.
-  void Send(http_request request, const reach& how, http_callback done);
+  /// Sends a request. The callback runs once, on the thread of the io_context. An answer that came
+  /// through a peer has no headers.
+  void Send(http_request request, const reach& options, http_callback done);
 
-  /// Makes an exchange from a certain peer.
+  /// Sends a request through the given peer.
   void SendFrom(const std::string& peer, const http_request& request, http_callback done);
 
-  /// Makes an exchange on behalf of a peer and answers it.
-  void Serve(const wire::peer_frame& question);
+  /// Makes the exchange that a peer requested and sends it the answer.
+  void Serve(const wire::peer_frame& relay_request);
 
-  /// @return exchanges that went by way of a peer, since the start.
+  /// @return the number of exchanges sent through peers since the start.
   [[nodiscard]] std::uint64_t Relayed() const { return relayed_; }
 
  private:
   enum class way : std::uint8_t { kRelay, kDirect, kPeer };
   struct exchange;
 
-  [[nodiscard]] std::deque<way> WaysTo(const std::string& address, const reach& how);
+  [[nodiscard]] std::deque<way> WaysTo(const std::string& address, const reach& options);
   void TryNext(const std::shared_ptr<exchange>& sent);
   void TryNextAfter(const std::shared_ptr<exchange>& sent, duration patience);
   void TryNextUnlessSlow(const std::shared_ptr<exchange>& sent);
   void SendDirect(const std::shared_ptr<exchange>& sent);
   void SendByPeer(const std::shared_ptr<exchange>& sent, const std::string& peer);
   void SendByRelay(const std::shared_ptr<exchange>& sent, const std::string& relay);
-  /// @return the peer that carries exchanges with an address, always the same while the relays
-  ///         are; empty where none can.
+  /// @return the relay for exchanges with an address, stable while the set of relays is; empty if
+  ///         none is available.
   [[nodiscard]] std::string RelayOf(const std::string& address) const;
-  /// Leaves a relay alone that didn't answer.
+  /// Temporarily excludes a relay that did not answer, and ends all requests pending there.
   void RestRelay(const std::string& relay);
   void OnFailure(const std::shared_ptr<exchange>& sent, result<http_reply> answer);
   [[nodiscard]] duration Patience(const exchange& sent) const;
   void Learn(const exchange& sent, time_point sent_at);
-  /// @return a peer to ask; empty where there is none that wasn't tried.
+  /// @return a peer that was not tried yet; empty if there is none.
   [[nodiscard]] std::string ChoosePeer(const exchange& sent);
 
   boost::asio::io_context& io_;
@@ -102,20 +102,22 @@
   event_sink* log_;
   std::vector<std::string> helpers_;
   std::vector<std::string> relays_;
-  std::unordered_map<std::string, time_point> resting_;      ///< relays, until when
-  std::unordered_map<std::string, time_point> relay_heard_;  ///< relays, when one last answered
-  /// By address that a relay failed to reach: until when it is reached otherwise.
+  /// By relay: excluded until.
+  std::unordered_map<std::string, time_point> resting_;
+  /// By relay: time of its last answer.
+  std::unordered_map<std::string, time_point> relay_heard_;
+  /// By address that its relay could not reach: until when other routes are used.
   std::unordered_map<std::string, time_point> unrelayed_;
-  /// By address: the peer that reached it last. Staying with it keeps what is sent in order.
+  /// By address: the peer that reached it last. Using the same peer again keeps requests in order.
   std::unordered_map<std::string, std::string> good_helper_;
   std::size_t next_helper_{0};
   std::uint64_t relayed_{0};
-  /// By address whose direct way brought no answer where a peer's did: when the direct way is next
-  /// tried, beside a peer, so that nobody waits for it.
+  /// By address whose direct route failed: when the direct route is tried again, together with a
+  /// peer, so that no caller waits for it.
   std::unordered_map<std::string, time_point> broken_;
-  /// By address: the exchange that tries another way on behalf of all.
+  /// By address: the one exchange that tries another route while the others wait for its result.
   std::unordered_map<std::string, std::weak_ptr<exchange>> scouts_;
-  /// By address: what an answer takes, smoothed.
+  /// By address: smoothed answer time.
   std::unordered_map<std::string, duration> usual_;
 };
 
