--- a/test/rosearch/cell/advice_desk_test.cc
+++ b/test/rosearch/cell/advice_desk_test.cc
@@ -21,33 +21,33 @@
 
 constexpr time_point kStart{std::chrono::hours{1}};
 
-/// Questions that come again every two seconds for each of so many steps, as tickets expire.
-struct load_of_steps {
+/// Steps that each repeat an advice query 2 s after the previous one was sent, as tickets expire.
+struct query_load {
   int steps{0};
   std::uint32_t priority{0};
 };
 
-/// Asks at seven processes for half a minute, two of them for quick questions only.
-/// @return the longest that a question of the least urgent load waited for a process.
-duration LongestWait(const std::vector<load_of_steps>& loads) {
+/// Simulates 30 s of advice queries on seven processes, two of them for cheap queries only.
+/// @return the longest time that a query of the lowest priority waited for a process.
+duration LongestWait(const std::vector<query_load>& loads) {
   advice_desk desk;
   desk.SetHelpers({"", "1", "2", "3", "4", "5", "6"});
-  const auto least = std::ranges::max(loads, {}, &load_of_steps::priority).priority;
+  const auto lowest_priority = std::ranges::max(loads, {}, &query_load::priority).priority;
   std::map<std::string, time_point> busy_until;
-  std::map<std::string, time_point> asked;
-  std::map<std::string, time_point> ask_at;
+  std::map<std::string, time_point> pending_since;
+  std::map<std::string, time_point> next_query_at;
   std::map<std::string, std::uint32_t> priority;
   for (const auto& load : loads) {
     for (int at = 0; at < load.steps; ++at) {
       const auto step = std::to_string(load.priority) + '.' + std::to_string(at);
-      ask_at[step] = kStart + milliseconds{at * 2'000 / load.steps};
+      next_query_at[step] = kStart + milliseconds{at * 2'000 / load.steps};
       priority[step] = load.priority;
     }
   }
   duration longest{};
-  const auto wait = [&](const std::string& step, time_point now) {
-    if (priority[step] == least) {
-      longest = std::max(longest, now - asked[step]);
+  const auto record_wait = [&](const std::string& step, time_point now) {
+    if (priority[step] == lowest_priority) {
+      longest = std::max(longest, now - pending_since[step]);
     }
   };
   const auto end = kStart + std::chrono::seconds{30};
@@ -58,30 +58,30 @@
       }
       return each.second <= now;
     });
-    for (auto& [step, at] : ask_at) {
-      if (at <= now && !asked.contains(step)) {
+    for (auto& [step, at] : next_query_at) {
+      if (at <= now && !pending_since.contains(step)) {
         auto query = Query(step, false);
         query.priority = priority[step];
         desk.Add(std::move(query), now);
-        asked[step] = now;
+        pending_since[step] = now;
       }
     }
     while (const auto next = desk.Next(now)) {
       busy_until[next->helper] = now + CostOf(next->query);
-      wait(next->query.step, now);
-      asked.erase(next->query.step);
-      ask_at[next->query.step] = now + std::chrono::seconds{2};
+      record_wait(next->query.step, now);
+      pending_since.erase(next->query.step);
+      next_query_at[next->query.step] = now + std::chrono::seconds{2};
     }
   }
-  for (const auto& [step, at] : asked) {
-    wait(step, end);
+  for (const auto& [step, at] : pending_since) {
+    record_wait(step, end);
   }
   return longest;
 }
 
 }  // namespace
 
-TEST_CASE("each process asks one question at a time") {
+TEST_CASE("each process sends one advice query at a time") {
   advice_desk desk;
   desk.SetHelpers({"", "b"});
   desk.Add(Query("1", true), kStart);
@@ -94,9 +94,9 @@
   CHECK(desk.Next(kStart)->query.step == "3");
 }
 
-// Long work comes in a burst; its questions take half a second each. An urgent step that had to
-// wait behind one would be late before it starts.
-TEST_CASE("long questions never take the last processes") {
+// The queries of a burst of long jobs take half a second each. An urgent step whose query waits
+// behind one would miss its target before it starts.
+TEST_CASE("expensive queries never occupy the last processes") {
   advice_desk desk;
   desk.SetHelpers({"", "b", "c"});
   for (int at = 0; at < 5; ++at) {
@@ -109,7 +109,7 @@
   CHECK(desk.Next(kStart)->query.step == "urgent");
 }
 
-TEST_CASE("a process alone asks everything, the urgent first") {
+TEST_CASE("a single process sends all queries, urgent ones first") {
   advice_desk desk;
   desk.SetHelpers({""});
   desk.Add(Query("long", false), kStart);
@@ -119,10 +119,9 @@
   CHECK(desk.Next(kStart)->query.step == "long");
 }
 
-// A burst of quick and long jobs together at seven processes, 27 quick and 3 long questions a
-// second: with one process that asks in order of arrival, a quick question waits for 1.4 s in the
-// mean.
-TEST_CASE("under a burst urgent questions wait less than their own cost") {
+// A mixed burst of 27 cheap and 3 expensive queries per second on seven processes. A single process
+// that sends them in order of arrival makes a cheap query wait for 1.4 s on average.
+TEST_CASE("under a burst urgent queries wait less than their own cost") {
   advice_desk desk;
   std::vector<std::string> helpers{""};
   for (int at = 1; at < 7; ++at) {
@@ -141,8 +140,8 @@
       }
     }
     const auto ms = now / milliseconds{1};
-    for (const auto& [every, is_urgent] : {std::pair{37, true}, std::pair{330, false}}) {
-      if (ms % every == 0) {
+    for (const auto& [interval_ms, is_urgent] : {std::pair{37, true}, std::pair{330, false}}) {
+      if (ms % interval_ms == 0) {
         const auto step = std::to_string(ms) + (is_urgent ? "u" : "l");
         added[step] = now;
         desk.Add(Query(step, is_urgent), kStart + now);
@@ -160,14 +159,14 @@
   CHECK(waited / urgent < milliseconds{26});
 }
 
-// Steps that find no room ask again each time their tickets expire, and by themselves they keep all
-// processes busy. A caller with work of lower priority sees a job that never starts, in a cell with
-// room for all of it.
+// Steps that find no room repeat their queries each time their tickets expire and keep all
+// processes busy. Without aging, a job of lower priority would never start although the cell has
+// room for it.
 TEST_CASE("no question waits for ever behind more urgent ones that keep coming") {
   CHECK(LongestWait({{30, 1}, {5, 2}}) < std::chrono::seconds{6});
 }
 
-TEST_CASE("a more urgent question still goes first among those that came together") {
+TEST_CASE("a more urgent query goes first among those that arrive together") {
   advice_desk desk;
   desk.SetHelpers({""});
   auto late = Query("late", false);
@@ -178,9 +177,9 @@
   CHECK(desk.Next(kStart + advice_desk::kPutOff)->query.step == "soon");
 }
 
-// The scheduler takes an answer for lost that was only slow and asks again, while the first
-// question still waits for a process. Asked twice, it would cost the others their turn.
-TEST_CASE("a question asked again takes the place of the one that waits") {
+// The scheduler times out and repeats a query that still waits for a process. Sending both copies
+// would delay the queries of other steps.
+TEST_CASE("a repeated query replaces the one that waits") {
   advice_desk desk;
   desk.SetHelpers({""});
   desk.Add(Query("first", false), kStart);
@@ -190,9 +189,9 @@
   CHECK(desk.Next(kStart)->query.step == "first");
 }
 
-// A process is asked and its answer is lost on the way. Taken for busy for ever, it would ask
-// nothing more, and with the last process gone no long job would start again.
-TEST_CASE("a process whose answer is lost is asked again after a while") {
+// The answer of a process is lost. If the process stayed marked as busy, it would send no further
+// query, and once this had happened to all processes no long job would start.
+TEST_CASE("a process whose answer is lost is used again after a grace period") {
   advice_desk desk;
   desk.SetHelpers({""});
   desk.Add(Query("lost", false), kStart);
--- a/test/rosearch/cell/cell_settings_test.cc
+++ b/test/rosearch/cell/cell_settings_test.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/// @return settings that are complete, with members added.
+/// @return complete settings with further members added.
 std::string Settings(const std::string& more) {
   return R"({"name":"a","callers_address":"127.0.0.1:1","ready_address":"127.0.0.1:2",)"
          R"("peer_address":"127.0.0.1:3","store_address":"127.0.0.1:4")" +
@@ -35,8 +35,8 @@
   CHECK(read.value().electing.broken_after == read.value().electing.suspect_after);
 }
 
-// An operator misspells a mechanism and takes what he measures for its worth. Passed over, the name
-// would switch off nothing.
+// An operator misspells a mechanism to measure the cell without it. If the unknown name were
+// ignored, the mechanism would stay on and the measurement would be wrong.
 TEST_CASE("settings that name no mechanism are refused") {
   CHECK(ParseCellSettings(Settings(R"(,"without":["rescues"])")).has_error());
   CHECK(ParseCellSettings(Settings(R"(,"without":"rescue")")).has_error());
--- a/test/rosearch/cell/election_test.cc
+++ b/test/rosearch/cell/election_test.cc
@@ -11,20 +11,22 @@
 const time_point kStart{seconds{100}};
 const leadership kFirst{1, "10.0.0.1:1", "a", 7};
 
-election Made(bool small = false) { return election{election_settings{}, small, 0.0, kStart}; }
+election MakeElection(bool small = false) {
+  return election{election_settings{}, small, 0.0, kStart};
+}
 
 }  // namespace
 
 TEST_CASE("nobody claims before the log of claims was read") {
-  auto made = Made();
-  CHECK_FALSE(made.ShouldClaim(kStart + seconds{10}));
-  made.OnClaimsRead(kStart);
-  CHECK(made.ShouldClaim(kStart + milliseconds{200}));
+  auto candidate = MakeElection();
+  CHECK_FALSE(candidate.ShouldClaim(kStart + seconds{10}));
+  candidate.OnClaimsRead(kStart);
+  CHECK(candidate.ShouldClaim(kStart + milliseconds{200}));
 }
 
 TEST_CASE("large processes claim before small ones") {
-  auto large = Made();
-  auto small = Made(true);
+  auto large = MakeElection();
+  auto small = MakeElection(true);
   large.OnClaimsRead(kStart);
   small.OnClaimsRead(kStart);
   CHECK(large.ShouldClaim(kStart + milliseconds{150}));
@@ -32,122 +34,122 @@
   CHECK(small.ShouldClaim(kStart + milliseconds{700}));
 }
 
-TEST_CASE("a leader that answers is left alone") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
+TEST_CASE("a leader that answers is not replaced") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
   for (int at = 1; at < 20; ++at) {
     const auto now = kStart + milliseconds{200} * at;
-    made.OnHeard(1, now);
-    CHECK_FALSE(made.Doubts(now + milliseconds{199}));
-    CHECK(made.Hears(now + milliseconds{199}));
+    candidate.OnHeard(1, now);
+    CHECK_FALSE(candidate.Doubts(now + milliseconds{199}));
+    CHECK(candidate.Hears(now + milliseconds{199}));
   }
 }
 
-// The leader's machine loses power: no connection breaks, nothing is said. Callers notice that no
-// request is answered until somebody else leads.
-TEST_CASE("a silent leader is doubted, then replaced") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
-  made.OnHeard(1, kStart);
-  CHECK_FALSE(made.Doubts(kStart + milliseconds{300}));
-  CHECK(made.Doubts(kStart + milliseconds{400}));
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{500}));
-  CHECK(made.ShouldClaim(kStart + milliseconds{750}));
+// The leader's machine loses power: no connection breaks and no message is sent. Callers get no
+// answer until another process leads.
+TEST_CASE("peers are asked about a silent leader before it is replaced") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
+  candidate.OnHeard(1, kStart);
+  CHECK_FALSE(candidate.Doubts(kStart + milliseconds{300}));
+  CHECK(candidate.Doubts(kStart + milliseconds{400}));
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{500}));
+  CHECK(candidate.ShouldClaim(kStart + milliseconds{750}));
 }
 
-// The leader's machine turns slow and another process takes over. The slow one hears its answers
-// too late, took it for dead and led again, and so on by turns: callers were served by neither.
-TEST_CASE("a process that is slow itself doesn't take a sound leader for dead") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
-  made.OnHeard(1, kStart);
-  made.OnOwnDelay(milliseconds{300}, kStart + milliseconds{500});
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{1'500}));
-  made.OnHeard(1, kStart + milliseconds{1'600});
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{2'100}));
-  // Where the leader is dead and nobody else claims, it does all the same.
-  CHECK(made.ShouldClaim(kStart + seconds{4}));
+// The leader's machine becomes slow and another process takes over. The slow process received the
+// new leader's answers too late and claimed again, so that leadership alternated between the two
+// and neither served callers.
+TEST_CASE("a slow process doesn't replace a healthy leader") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
+  candidate.OnHeard(1, kStart);
+  candidate.OnOwnDelay(milliseconds{300}, kStart + milliseconds{500});
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{1'500}));
+  candidate.OnHeard(1, kStart + milliseconds{1'600});
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{2'100}));
+  // The slow process still claims if the leader stays silent and no other process claims.
+  CHECK(candidate.ShouldClaim(kStart + seconds{4}));
 }
 
-// Only this process is cut off from the leader. If it claimed, the cell would change its leader for
-// nothing, and back again.
-TEST_CASE("a peer that hears the leader keeps others from claiming") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
-  made.OnHeard(1, kStart);
-  made.OnPeerHeard(kStart + milliseconds{500});
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{1'000}));
+// Only this process is cut off from the leader. A claim would cause two needless leader changes.
+TEST_CASE("a peer that reaches the leader keeps others from claiming") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
+  candidate.OnHeard(1, kStart);
+  candidate.OnPeerHeard(kStart + milliseconds{500});
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{1'000}));
 }
 
-// The leader's machine loses power. All have heard it a moment ago; asked about it half a second
-// later, the peers' word must not count as if the leader had answered just then.
-TEST_CASE("a peer's word counts from when it heard the leader") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
-  made.OnHeard(1, kStart);
-  made.OnPeerHeard(kStart + milliseconds{50});
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{600}));
-  CHECK(made.ShouldClaim(kStart + milliseconds{750}));
+// The leader's machine loses power shortly after it answered all peers. Peers are asked half a
+// second later: their reports must not count as if the leader had answered at that time.
+TEST_CASE("a peer's report counts from the leader's last answer to it") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
+  candidate.OnHeard(1, kStart);
+  candidate.OnPeerHeard(kStart + milliseconds{50});
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{600}));
+  CHECK(candidate.ShouldClaim(kStart + milliseconds{750}));
 }
 
-// The leader's process is killed, and all its connections break. Waiting until its silence is
-// certain would keep callers waiting for half a second longer.
+// The leader's process is killed and all its connections break. Waiting for the full suspect
+// timeout would leave callers without an answer for half a second longer.
 TEST_CASE("a leader whose connection broke is replaced soon") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
-  made.OnHeard(1, kStart);
-  made.OnConnectionBroken(kStart + milliseconds{20});
-  CHECK(made.Doubts(kStart + milliseconds{20}));
-  CHECK_FALSE(made.Reaches(kStart + milliseconds{20}));
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{100}));
-  CHECK(made.ShouldClaim(kStart + milliseconds{300}));
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
+  candidate.OnHeard(1, kStart);
+  candidate.OnConnectionBroken(kStart + milliseconds{20});
+  CHECK(candidate.Doubts(kStart + milliseconds{20}));
+  CHECK_FALSE(candidate.Reaches(kStart + milliseconds{20}));
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{100}));
+  CHECK(candidate.ShouldClaim(kStart + milliseconds{300}));
 }
 
-// Connections are reset on the way; the leader is sound.
-TEST_CASE("a leader that is heard after its connection broke is left alone") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
-  made.OnHeard(1, kStart);
-  made.OnConnectionBroken(kStart + milliseconds{20});
-  SECTION("by this process") { made.OnHeard(1, kStart + milliseconds{90}); }
-  SECTION("by a peer") { made.OnPeerHeard(kStart + milliseconds{90}); }
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{300}));
+// The network resets the connections of a healthy leader.
+TEST_CASE("a leader that answers after its connection broke is not replaced") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
+  candidate.OnHeard(1, kStart);
+  candidate.OnConnectionBroken(kStart + milliseconds{20});
+  SECTION("by this process") { candidate.OnHeard(1, kStart + milliseconds{90}); }
+  SECTION("by a peer") { candidate.OnPeerHeard(kStart + milliseconds{90}); }
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{300}));
 }
 
-TEST_CASE("a leader that says goodbye is replaced at once") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  made.OnLeadership(kFirst, kStart);
-  made.OnHeard(1, kStart + seconds{5});
-  made.OnLeaderLeaving(1);
-  CHECK_FALSE(made.Hears(kStart + seconds{5}));
-  CHECK(made.Reaches(kStart + seconds{5}));
-  CHECK(made.ShouldClaim(kStart + seconds{5} + milliseconds{120}));
+TEST_CASE("a leader that announces its departure is replaced at once") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  candidate.OnLeadership(kFirst, kStart);
+  candidate.OnHeard(1, kStart + seconds{5});
+  candidate.OnLeaderLeaving(1);
+  CHECK_FALSE(candidate.Hears(kStart + seconds{5}));
+  CHECK(candidate.Reaches(kStart + seconds{5}));
+  CHECK(candidate.ShouldClaim(kStart + seconds{5} + milliseconds{120}));
 }
 
-TEST_CASE("an older leadership is no news, and a goodbye of it counts for nothing") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  CHECK(made.OnLeadership({2, "10.0.0.2:1", "b", 8}, kStart));
-  CHECK_FALSE(made.OnLeadership(kFirst, kStart));
-  made.OnLeaderLeaving(1);
-  CHECK_FALSE(made.Leaving());
+TEST_CASE("an older leadership and its departure are ignored") {
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  CHECK(candidate.OnLeadership({2, "10.0.0.2:1", "b", 8}, kStart));
+  CHECK_FALSE(candidate.OnLeadership(kFirst, kStart));
+  candidate.OnLeaderLeaving(1);
+  CHECK_FALSE(candidate.Leaving());
 }
 
 TEST_CASE("a claim that was not answered is not repeated at once") {
-  auto made = Made();
-  made.OnClaimsRead(kStart);
-  REQUIRE(made.ShouldClaim(kStart + milliseconds{200}));
-  made.OnClaimSent(kStart + milliseconds{200});
-  CHECK_FALSE(made.ShouldClaim(kStart + milliseconds{300}));
-  CHECK(made.ShouldClaim(kStart + milliseconds{700}));
+  auto candidate = MakeElection();
+  candidate.OnClaimsRead(kStart);
+  REQUIRE(candidate.ShouldClaim(kStart + milliseconds{200}));
+  candidate.OnClaimSent(kStart + milliseconds{200});
+  CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{300}));
+  CHECK(candidate.ShouldClaim(kStart + milliseconds{700}));
 }
 
 TEST_CASE("where all are restarted in turn, the youngest claims first") {
--- a/test/rosearch/cell/fake_ports.h
+++ b/test/rosearch/cell/fake_ports.h
@@ -19,14 +19,14 @@
 
 using std::chrono::milliseconds;
 
-/// Keeps log lines for tests that look at them.
+/// Collects log lines for tests that check them.
 class kept_lines final : public event_sink {
  public:
   void Write(const event_line& line) override { lines.push_back(line.text()); }
   std::vector<std::string> lines;
 };
 
-/// A store, one worker and no advice, in memory; each may be told to misbehave.
+/// An in-memory store and workers without advice. The members below inject store faults and delays.
 class fake_ports {
  public:
   explicit fake_ports(boost::asio::io_context& io) : io_{io} {}
@@ -53,7 +53,7 @@
     } else if (!records.empty()) {
       answer = Store(records, proof->sequence);
     }
-    // Every second append that carries records takes longer, as one by another way does.
+    // Delays every second append with records, as if it had taken a slower route.
     const bool slow = !records.empty() && reorder && ++carried % 2 == 1;
     Later(slow ? milliseconds{25} : milliseconds{1}, [done, answer] { done(answer); });
   }
@@ -90,7 +90,7 @@
     ++watches;
     const bool first = watched.insert(watch.worker).second;
     std::erase_if(ended, [&](const auto& row) { return row.number <= watch.acked_end; });
-    // A worker with nothing to tell keeps its answer back for a while.
+    // A worker with nothing to report delays its answer (long poll).
     const bool keeps_back = ended.empty() && watch.wait > duration{};
     Later(milliseconds{keeps_back ? 50 : 5}, [this, first, done] {
       std::this_thread::sleep_for(first ? watch_costs : duration{});
@@ -102,11 +102,11 @@
   void Advise(const std::string&, const sched::advice_query&, const advice_callback&) {}
 
   static std::optional<sched::cell_configuration> DecodeConfiguration(const std::string&) {
-    sched::cell_configuration made;
-    made.version = 1;
-    made.queues = {{"quick", "host", "/jobs/", "pool", 0, 2, 1.5, milliseconds{250}, {}}};
-    made.pools = {{"pool", false, false}};
-    return made;
+    sched::cell_configuration configuration;
+    configuration.version = 1;
+    configuration.queues = {{"quick", "host", "/jobs/", "pool", 0, 2, 1.5, milliseconds{250}, {}}};
+    configuration.pools = {{"pool", false, false}};
+    return configuration;
   }
   static std::string_view ConfigurationKey() { return "config"; }
   static std::optional<sched::worker_facts> DecodeWorker(const std::string& id,
@@ -138,9 +138,9 @@
   std::vector<sched::start_order> starts;
   std::vector<sched::ended_row> ended;
   std::uint64_t ends{0};
-  std::optional<std::uint64_t> next_sequence;  ///< unset: an epoch may begin with any
-  duration first_takes{};                      ///< on its way to the store; 0: as long as others
-  duration watch_costs{};  ///< of the leader's time, for a worker's first answer
+  std::optional<std::uint64_t> next_sequence;  ///< unset: any first number is accepted
+  duration first_takes{};                      ///< of the first append; 0: as the others
+  duration watch_costs{};  ///< time for which a worker's first answer blocks the leader
   int appends{0};
   int carried{0};
   int workers{1};
@@ -152,7 +152,7 @@
   bool reorder{false};
 
  private:
-  /// What the store does with records when they arrive.
+  /// Stores records with the expected sequence number, ignores a repeat and refuses any other.
   append_answer Store(const std::vector<std::string>& records, std::uint64_t sequence) {
     append_answer answer;
     answer.outcome = append_outcome::kStored;
@@ -169,22 +169,22 @@
     }
     return answer;
   }
-  void Later(duration pause, std::function<void()> what) {
-    auto timer = std::make_shared<boost::asio::steady_timer>(io_, pause);
+  void Later(duration delay, std::function<void()> action) {
+    auto timer = std::make_shared<boost::asio::steady_timer>(io_, delay);
     timer->async_wait(
-        [timer, what = std::move(what)](const boost::system::error_code&) { what(); });
+        [timer, action = std::move(action)](const boost::system::error_code&) { action(); });
   }
   boost::asio::io_context& io_;
 };
 
 static_assert(cell_ports<fake_ports>);
 
-/// A leader over fake ports, run for real but short spans of time.
+/// A leader on fake ports that runs in real time, for short periods.
 class leading {
  public:
-  explicit leading(int workers = 1, duration between = {}, duration first_append = {},
+  explicit leading(int workers = 1, duration interval = {}, duration first_append = {},
                    duration watch_costs = {})
-      : pause{between} {
+      : pause{interval} {
     ports.workers = workers;
     ports.watch_costs = watch_costs;
     ports.first_takes = first_append;
@@ -213,10 +213,10 @@
   }
   std::shared_ptr<caller_answer> Ask(const std::string& method, const std::string& id,
                                      const std::string& body = {},
-                                     duration patience = milliseconds{2'000}) {
+                                     duration timeout = milliseconds{2'000}) {
     auto got = std::make_shared<caller_answer>();
     got->status = 0;
-    made->Handle({method, "host", "/jobs/" + id, body}, patience,
+    made->Handle({method, "host", "/jobs/" + id, body}, timeout,
                  [got](const caller_answer& answer) { *got = answer; });
     return got;
   }
@@ -226,8 +226,8 @@
   kept_lines log;
   metric_set metrics;
   std::shared_ptr<leader<fake_ports>> made;
-  std::vector<std::size_t> known_when_asked;  ///< workers, each time that a pause was asked for
-  duration pause{};                           ///< between two times that workers are watched
+  std::vector<std::size_t> known_when_asked;  ///< workers known at each call of the hook
+  duration pause{};                           ///< between two slices of workers to watch
   bool ended{false};
 };
 
--- a/test/rosearch/cell/leader_test.cc
+++ b/test/rosearch/cell/leader_test.cc
@@ -20,8 +20,8 @@
   CHECK(cell.Ask("POST", "c", "")->status == 400);
 }
 
-// A new leader of thousands of workers opened a connection of its own to each of them before it
-// knew its relays, and ran out of file descriptors.
+// A new leader of thousands of workers connected to each of them directly before it knew its
+// relays, and ran out of file descriptors.
 TEST_CASE("workers are counted before the first of them is asked") {
   const leading cell;
   REQUIRE_FALSE(cell.known_when_asked.empty());
@@ -29,8 +29,8 @@
   CHECK(cell.ports.watches > 0);
 }
 
-// A new leader asked thousands of workers in one go. Meanwhile it answered no caller and no peer,
-// and was taken for dead.
+// A new leader that watched thousands of workers at once answered no caller or peer meanwhile, and
+// was replaced.
 TEST_CASE("many workers are read some at a time") {
   constexpr int kWorkers = 200;
   leading cell{kWorkers, milliseconds{100}};
@@ -40,13 +40,13 @@
   CHECK(cell.ports.watched.size() == kWorkers);
 }
 
-// A new leader with a small share of a processor took one worker's report after the other. Callers
-// and peers waited until all were read, and the peers chose another leader.
-TEST_CASE("reading workers leaves a late leader half of its time") {
+// A new leader with a small share of a processor handled the workers' reports without a break.
+// Callers and peers waited until all were read, and the peers chose another leader.
+TEST_CASE("reading workers leaves an overloaded leader half of its time") {
   constexpr int kWorkers = 600;
   leading cell{kWorkers, milliseconds{1}, {}, milliseconds{1}};
   REQUIRE(cell.made->Serving());
-  // The first slice is out; of each further millisecond half may go into one more.
+  // The first slice is already sent. Later slices may take half of the time, at 1 ms per worker.
   constexpr int kSlice = 50;
   cell.Run(milliseconds{300});
   CHECK(cell.ports.watched.size() <= 360 / 2 + 2 * kSlice);
@@ -66,7 +66,8 @@
   CHECK(cell.ports.starts.empty());
 }
 
-// The answer to an append is lost. The caller must not hear that its job was refused: it is stored.
+// The answer to an append is lost. The caller must not be told that its job was refused, since the
+// job may be stored.
 TEST_CASE("an append without an answer is sent again until its job is accepted") {
   leading cell;
   cell.ports.lose = 2;
@@ -77,8 +78,8 @@
   CHECK(accepted->status == 200);
 }
 
-// The store says nothing any more. The one job whose append is under way stays open until its
-// caller gives up; every later one is refused at once.
+// The store stops answering. The job whose append is in flight stays open until its caller times
+// out; later jobs are refused at once.
 TEST_CASE("while the store is silent new jobs are refused at once") {
   leading cell;
   cell.ports.silent = true;
@@ -90,8 +91,8 @@
   CHECK(first->status == 504);
 }
 
-// The store said nothing for a while and is back, but calls that were made meanwhile still hang.
-// The cell went on refusing jobs until the last of them had given up.
+// The store answers again after an outage, while calls made during the outage still hang. The cell
+// refused jobs until the last of those calls had timed out.
 TEST_CASE("a store that is back is noticed though earlier calls still hang") {
   leading cell;
   cell.ports.silent = true;
@@ -106,9 +107,9 @@
   CHECK(second->status == 200);
 }
 
-// Batches that go by different ways overtake one another; the store refuses the one that came
-// early. Taken for a failing store, each would turn callers away.
-TEST_CASE("a batch that came before its predecessor is no failure") {
+// Batches on different routes overtake one another, and the store refuses the one that arrives out
+// of order. If that counted as a store failure, the cell would refuse jobs.
+TEST_CASE("a batch that arrives before its predecessor is not a store failure") {
   leading cell;
   cell.ports.reorder = true;
   std::vector<std::shared_ptr<caller_answer>> answers;
@@ -122,11 +123,9 @@
   }
 }
 
-// Another process has taken over. What this one still decides must have no effect, and its callers
-// must look for the new leader.
-// The second batch of a new leader arrives first. The store lets an epoch begin with any sequence
-// number and refuses the first batch then, which was taken for stored: jobs that were accepted, and
-// whom to wait for, were not known any more after the next change of leader.
+// The second batch of a new leader arrives first. The store accepts any first sequence number of an
+// epoch and then refuses the first batch as a repeat, which the leader recorded as stored: accepted
+// jobs and the workers to wait for were lost at the next leader change.
 TEST_CASE("a leader's first batch is not overtaken") {
   leading cell{1, {}, milliseconds{200}};
   const auto accepted = cell.Ask("POST", "a", "job");
@@ -136,6 +135,8 @@
   CHECK(cell.ports.kept.contains("w"));
 }
 
+// Another process has taken over. Decisions of the former leader must have no effect, and its
+// callers must look for the new leader.
 TEST_CASE("a fenced leader ends and sends its callers on") {
   leading cell;
   cell.ports.fenced = true;
@@ -146,9 +147,9 @@
   CHECK(answer->status == kMayBeStored);
 }
 
-// Another leader was chosen; this one is so busy that it hasn't read of it, while a peer that
-// hasn't either still follows it. A caller asks for a job that the new leader accepted: it must not
-// hear that there is no such job.
+// Another process leads, but this one is too busy to have read the claim, and a peer still follows
+// it. A caller that asks for a job that the new leader accepted must not be told that the job is
+// unknown.
 TEST_CASE("a leader that hasn't read the claims lately calls no job unknown") {
   leading cell;
   CHECK(cell.Ask("GET", "b")->status == 410);
--- a/test/rosearch/cell/node_test.cc
+++ b/test/rosearch/cell/node_test.cc
@@ -20,12 +20,12 @@
 
 using std::chrono::seconds;
 
-/// The log of claims, shared by all processes of a cell.
+/// The stream of leadership claims, shared by all processes of a cell.
 class claims_log {
  public:
   append_answer Append(const std::string& record, std::uint64_t at) {
     const std::scoped_lock lock{mutex_};
-    ++asked_;
+    ++append_count_;
     if (at != records_.size()) {
       return {append_outcome::kMoved, 0, 0};
     }
@@ -37,22 +37,22 @@
     return {records_.begin() + static_cast<std::ptrdiff_t>(first), records_.end()};
   }
 
-  /// From now on nothing is answered.
+  /// Stops answering reads.
   void Silence() { silent_ = true; }
   [[nodiscard]] bool Silent() const { return silent_; }
-  [[nodiscard]] int Asked() const {
+  [[nodiscard]] int AppendCount() const {
     const std::scoped_lock lock{mutex_};
-    return asked_;
+    return append_count_;
   }
 
  private:
   mutable std::mutex mutex_;
   std::vector<std::string> records_;
-  int asked_{0};
+  int append_count_{0};
   std::atomic<bool> silent_{false};
 };
 
-/// The outside of one process: its own state and workers, but the claims of all.
+/// The ports of one process: its own state and workers, and the claims shared by all processes.
 class claiming_ports : public fake_ports {
  public:
   claiming_ports(boost::asio::io_context& io, claims_log& claims)
@@ -104,62 +104,62 @@
 
 static_assert(cell_ports<claiming_ports>);
 
-/// One process of a cell, on a thread of its own.
+/// One process of a cell, which runs on its own thread.
 class process {
  public:
   process(claims_log& claims, const std::string& address, const std::vector<std::string>& seeds,
-          std::uint64_t life, std::uint32_t processor_milli = 1'000, int workers = 1)
+          std::uint64_t incarnation, std::uint32_t processor_milli = 1'000, int workers = 1)
       : ports_{io_, claims},
-        peers_{io_, address, life, [this](const wire::peer_frame& frame) { node_->Receive(frame); },
+        peers_{io_, address, incarnation,
+               [this](const wire::peer_frame& frame) { node_->Receive(frame); },
                [this](const std::string& peer) { node_->OnConnectionBroken(peer); }},
-        outside_{io_, http_, peers_} {
+        client_{io_, http_, peers_} {
     ports_.workers = workers;
     cell_settings settings;
     settings.name = address;
     settings.seeds = seeds;
     settings.processor_milli = processor_milli;
-    node_ = std::make_unique<node<claiming_ports>>(io_, settings, ports_, peers_, outside_, life,
-                                                   0.0, log_, metrics_);
+    node_ = std::make_unique<node<claiming_ports>>(io_, settings, ports_, peers_, client_,
+                                                   incarnation, 0.0, log_, metrics_);
     node_->Begin();
-    Thaw();
+    Resume();
   }
-  ~process() { Freeze(); }
+  ~process() { Suspend(); }
   process(const process&) = delete;
   process& operator=(const process&) = delete;
 
-  /// Stops all work; connections stay open, as those of a machine without power. No thread of it
-  /// answers any more.
-  void Freeze() {
+  /// Stops all threads and leaves connections open, as if the machine had lost power.
+  void Suspend() {
     peers_.SetPingReply(nullptr, {});
     io_.stop();
     if (thread_.joinable()) {
       thread_.join();
     }
   }
-  void Thaw() {
+  void Resume() {
     io_.restart();
     thread_ = std::thread{[this] { io_.run(); }};
   }
 
-  /// Keeps its main thread busy; other threads of it go on.
-  void KeepBusy(duration span) {
+  /// Blocks the main thread for a time; the other threads keep running.
+  void BlockMainThread(duration span) {
     boost::asio::post(io_, [span] { std::this_thread::sleep_for(span); });
   }
 
-  /// @return whether it leads and answers, asked on its own thread.
+  /// @return whether the process leads and is ready, read on its main thread.
   [[nodiscard]] bool Leads() {
     return OnThread(
         [this] { return node_->Ready() && node_->Dump().find("leading=1") != std::string::npos; });
   }
-  /// @return whether peers carry its exchanges with workers.
+  /// @return whether the process reaches its workers through relays.
   [[nodiscard]] bool HasRelays() {
-    return OnThread([this] { return outside_.HasRelays(); });
+    return OnThread([this] { return client_.HasRelays(); });
   }
-  /// @return whether it would answer callers.
+  /// @return whether the process would answer callers.
   [[nodiscard]] bool Ready() {
     return OnThread([this] { return node_->Ready(); });
   }
-  /// @return whether it wrote a line about that event.
+  /// @return whether the process logged the event.
   [[nodiscard]] bool Logged(const std::string& event) {
     return OnThread([this, event] {
       return std::ranges::any_of(log_.lines, [&](const auto& line) {
@@ -167,7 +167,8 @@
       });
     });
   }
-  /// Hands in a job, as a caller's request that comes in here.
+  /// Submits a job to this process, as a caller would.
+  /// @return the HTTP status of the answer.
   [[nodiscard]] std::future<unsigned> Submit(const std::string& id) {
     auto answered = std::make_shared<std::promise<unsigned>>();
     auto status = answered->get_future();
@@ -177,18 +178,19 @@
       call.path = "/jobs/" + id;
       call.headers["host"] = "host";
       call.body = "job";
-      node_->Take(call,
-                  [answered](const http_response& said) { answered->set_value(said.status); });
+      node_->Take(call, [answered](const http_response& response) {
+        answered->set_value(response.status);
+      });
     });
     return status;
   }
 
  private:
-  template <typename Question>
-  bool OnThread(Question question) {
-    std::promise<bool> said;
-    auto answer = said.get_future();
-    boost::asio::post(io_, [&] { said.set_value(question()); });
+  template <typename Predicate>
+  bool OnThread(Predicate predicate) {
+    std::promise<bool> answered;
+    auto answer = answered.get_future();
+    boost::asio::post(io_, [&] { answered.set_value(predicate()); });
     return answer.get();
   }
 
@@ -199,11 +201,11 @@
   metric_set metrics_;
   std::unique_ptr<node<claiming_ports>> node_;
   peer_link peers_;
-  relayed_client outside_;
+  relayed_client client_;
   std::thread thread_;
 };
 
-/// Three processes of one cell, of which one leads.
+/// Three processes of one cell, the first of which leads.
 class cell_of_three {
  public:
   explicit cell_of_three(int workers = 1) {
@@ -212,25 +214,25 @@
       processes[at] = std::make_unique<process>(
           claims, kAddresses[at], std::vector{std::string{kAddresses[0]}}, at + 1, kLarge, workers);
       if (at == 0) {
-        Until([this] { return processes[0]->Leads(); });
+        WaitUntil([this] { return processes[0]->Leads(); });
       }
     }
-    Until([this] { return processes[1]->Ready() && processes[2]->Ready(); });
+    WaitUntil([this] { return processes[1]->Ready() && processes[2]->Ready(); });
     std::this_thread::sleep_for(milliseconds{500});
   }
 
-  /// Waits until something holds.
-  /// @return how long that took.
-  template <typename Question>
-  static duration Until(Question holds, duration most = seconds{5}) {
+  /// Waits until the predicate holds or the time is over.
+  /// @return the time waited.
+  template <typename Predicate>
+  static duration WaitUntil(Predicate condition, duration max_wait = seconds{5}) {
     const auto began = SteadyNow();
-    while (!holds() && SteadyNow() - began < most) {
+    while (!condition() && SteadyNow() - began < max_wait) {
       std::this_thread::sleep_for(milliseconds{5});
     }
     return SteadyNow() - began;
   }
-  [[nodiscard]] duration UntilOtherLeads(duration most = seconds{5}) {
-    return Until([this] { return processes[1]->Leads() || processes[2]->Leads(); }, most);
+  [[nodiscard]] duration WaitUntilOtherLeads(duration max_wait = seconds{5}) {
+    return WaitUntil([this] { return processes[1]->Leads() || processes[2]->Leads(); }, max_wait);
   }
 
   static constexpr std::array kAddresses{"127.0.0.1:47311", "127.0.0.1:47312", "127.0.0.1:47313"};
@@ -240,151 +242,152 @@
 
 }  // namespace
 
-// The machine that leads loses power: nothing is said and no connection breaks. Callers get no
-// answer until another process leads. When that is due, the cases of `election` tell exactly.
+// The leader's machine loses power: no message is sent and no connection breaks. Callers get no
+// answer until another process leads. The `election` tests check the exact times.
 TEST_CASE("a silent leader is replaced") {
   cell_of_three cell;
-  cell.processes[0]->Freeze();
-  const auto took = cell.UntilOtherLeads();
-  CHECK(took > milliseconds{300});
-  CHECK(took < seconds{3});
+  cell.processes[0]->Suspend();
+  const auto elapsed = cell.WaitUntilOtherLeads();
+  CHECK(elapsed > milliseconds{300});
+  CHECK(elapsed < seconds{3});
 }
 
-// A leader has more to do than it has time for and answers nothing for a while. Taken for dead, it
-// was replaced, and each successor, which read all workers anew, was overloaded and replaced, too:
-// callers were served by nobody.
+// An overloaded leader doesn't answer for a while and was replaced. Each successor had to read all
+// workers again, was overloaded and replaced in turn, so that no process served callers.
 TEST_CASE("a leader that is busy is not replaced") {
   cell_of_three cell;
-  cell.processes[0]->KeepBusy(milliseconds{1'800});
+  cell.processes[0]->BlockMainThread(milliseconds{1'800});
   std::this_thread::sleep_for(milliseconds{1'700});
   CHECK_FALSE(cell.processes[1]->Leads());
   CHECK_FALSE(cell.processes[2]->Leads());
-  CHECK(cell.claims.Asked() == 1);
+  CHECK(cell.claims.AppendCount() == 1);
   CHECK(cell.processes[0]->Leads());
 }
 
-// A process has just taken over and reads all workers. Its peers hold no list of members of its
-// yet; their pings waited for its work, and it was replaced by another that had the same to do.
+// A new leader reads all workers. Its peers don't have its member list yet; their pings waited
+// until the main thread was free, and the leader was replaced by another that had to read them all
+// again.
 TEST_CASE("a new leader that is busy is not replaced") {
   cell_of_three cell;
   cell.processes[0].reset();
-  REQUIRE(cell.UntilOtherLeads() < seconds{3});
-  auto& leads = cell.processes[1]->Leads() ? cell.processes[1] : cell.processes[2];
-  leads->KeepBusy(milliseconds{1'800});
+  REQUIRE(cell.WaitUntilOtherLeads() < seconds{3});
+  auto& new_leader = cell.processes[1]->Leads() ? cell.processes[1] : cell.processes[2];
+  new_leader->BlockMainThread(milliseconds{1'800});
   std::this_thread::sleep_for(milliseconds{1'700});
   CHECK(cell.claims.From(0).size() == 2);
-  CHECK(leads->Leads());
+  CHECK(new_leader->Leads());
 }
 
-// The thread that decides never comes back, while the one that answers peers still runs: the cell
-// would have a leader that does nothing.
+// The leader's main thread hangs while the thread that answers peers still runs. The cell would
+// keep a leader that does nothing.
 TEST_CASE("a leader that stands still is replaced") {
   cell_of_three cell;
-  constexpr seconds kStands{10};
-  cell.processes[0]->KeepBusy(kStands);
-  const auto took = cell.UntilOtherLeads(kStands);
-  CHECK(took > seconds{2});
-  CHECK(took < kStands - seconds{2});
+  constexpr seconds kBlockedTime{10};
+  cell.processes[0]->BlockMainThread(kBlockedTime);
+  const auto elapsed = cell.WaitUntilOtherLeads(kBlockedTime);
+  CHECK(elapsed > seconds{2});
+  CHECK(elapsed < kBlockedTime - seconds{2});
 }
 
-// The process that leads is killed. Its connections break at once, but only its silence was
-// noticed, and callers waited for half a second more.
-TEST_CASE("a killed leader is noticed by its connections") {
+// The leader's process is killed and its connections break at once. When only missing answers were
+// detected, callers waited for half a second more.
+TEST_CASE("a killed leader is detected by its broken connections") {
   cell_of_three cell;
   cell.processes[0].reset();
-  CHECK(cell.UntilOtherLeads() < seconds{3});
+  CHECK(cell.WaitUntilOtherLeads() < seconds{3});
   CHECK((cell.processes[1]->Logged("leader_connection_broken") ||
          cell.processes[2]->Logged("leader_connection_broken")));
   CHECK((cell.processes[1]->Logged("leader_gone") || cell.processes[2]->Logged("leader_gone")));
 }
 
-// All processes are started again, and the one that led comes up last. The others must not wait for
-// its silence to be certain: its machine says that nobody listens there.
-TEST_CASE("a process that starts where the leader is gone leads at once") {
+// All processes restart, the former leader last. The others must not wait for the suspect timeout:
+// the former leader's machine refuses connections, since no process listens there.
+TEST_CASE("a process that starts after the leader ended leads at once") {
   claims_log claims;
   {
     process former{claims, "127.0.0.1:47311", {}, 1};
-    cell_of_three::Until([&] { return former.Leads(); });
+    cell_of_three::WaitUntil([&] { return former.Leads(); });
   }
   process next{claims, "127.0.0.1:47312", {"127.0.0.1:47311"}, 2};
-  CHECK(cell_of_three::Until([&] { return next.Leads(); }) < seconds{3});
+  CHECK(cell_of_three::WaitUntil([&] { return next.Leads(); }) < seconds{3});
   CHECK(next.Logged("leader_gone"));
 }
 
-// A request is on its way to the leader as it loses power. It must not be given up, nor wait for
-// that answer when another process already leads.
-TEST_CASE("a request on its way to a lost leader goes to the next one") {
+// The leader loses power while a request to it is in flight. The request must neither fail nor keep
+// waiting for that answer once another process leads.
+TEST_CASE("a request in flight to a lost leader goes to the next one") {
   cell_of_three cell;
-  cell.processes[0]->Freeze();
+  cell.processes[0]->Suspend();
   auto status = cell.processes[1]->Submit("a");
   REQUIRE(status.wait_for(seconds{3}) == std::future_status::ready);
   CHECK(status.get() == 200);
 }
 
-// The store is away as the leader is lost. A small process must not have a claim hanging there: it
-// would be as likely to win as a large one's when the store is back, and the cell would take more
-// than its processor.
+// The store is unavailable when the leader is lost. A small process must not have a claim in flight
+// then: when the store is back, that claim would be as likely to win as a large process's, and the
+// cell's load would exceed the small process's processor.
 TEST_CASE("a small process claims only while the store answers") {
   claims_log claims;
   auto leader = std::make_unique<process>(claims, "127.0.0.1:47311", std::vector<std::string>{}, 1);
-  cell_of_three::Until([&] { return leader->Leads(); });
+  cell_of_three::WaitUntil([&] { return leader->Leads(); });
   constexpr std::uint32_t kSmall = 100;
   process small{claims, "127.0.0.1:47312", {"127.0.0.1:47311"}, 2, kSmall};
-  cell_of_three::Until([&] { return small.Ready(); });
-  const int before = claims.Asked();
+  cell_of_three::WaitUntil([&] { return small.Ready(); });
+  const int before = claims.AppendCount();
   SECTION("not while it is silent") {
     claims.Silence();
     std::this_thread::sleep_for(milliseconds{2'200});
     leader.reset();
     std::this_thread::sleep_for(milliseconds{1'500});
-    CHECK(claims.Asked() == before);
+    CHECK(claims.AppendCount() == before);
   }
   SECTION("else it does") {
     leader.reset();
-    CHECK(cell_of_three::Until([&] { return small.Leads(); }) < seconds{4});
+    CHECK(cell_of_three::WaitUntil([&] { return small.Leads(); }) < seconds{4});
   }
 }
 
-// All processes were killed, and a small one is back first. With hundreds of workers it is late
-// with everything, and callers wait; a larger one has to lead as soon as there is one.
+// All processes were killed, and a small one restarts first. It is overloaded by hundreds of
+// workers and callers wait, so a larger process has to lead as soon as one is available.
 TEST_CASE("a small process hands many workers over to a larger one") {
   claims_log claims;
   constexpr std::uint32_t kSmall = 100;
-  constexpr int kMany = 200;
-  const int workers = GENERATE_COPY(1, kMany);
+  constexpr int kManyWorkers = 200;
+  const int workers = GENERATE_COPY(1, kManyWorkers);
   process small{claims, "127.0.0.1:47311", {}, 1, kSmall, workers};
-  REQUIRE(cell_of_three::Until([&] { return small.Leads(); }) < seconds{5});
+  REQUIRE(cell_of_three::WaitUntil([&] { return small.Leads(); }) < seconds{5});
   process large{claims, "127.0.0.1:47312", {"127.0.0.1:47311"}, 2, 1'000, workers};
-  constexpr seconds kEnough{3};
-  const bool handed_over = cell_of_three::Until([&] { return large.Leads(); }, kEnough) < kEnough;
-  CHECK(handed_over == (workers == kMany));
-  const bool stays = workers != kMany;
-  cell_of_three::Until([&] { return small.Leads() == stays; });
+  constexpr seconds kMaxWait{3};
+  const bool handed_over =
+      cell_of_three::WaitUntil([&] { return large.Leads(); }, kMaxWait) < kMaxWait;
+  CHECK(handed_over == (workers == kManyWorkers));
+  const bool stays = workers != kManyWorkers;
+  cell_of_three::WaitUntil([&] { return small.Leads() == stays; });
   CHECK(small.Leads() == stays);
-  CHECK(small.Logged("leadership_offered") == (workers == kMany));
+  CHECK(small.Logged("leadership_offered") == (workers == kManyWorkers));
 }
 
-// Most processes lose power at once, the leader among them. Its successor still has them on its
-// list; taken for relays, they would carry its exchanges with workers to nowhere.
-TEST_CASE("a successor takes for relays only processes that it has heard") {
-  constexpr int kMany = 200;
-  cell_of_three cell{kMany};
-  REQUIRE(cell_of_three::Until([&] { return cell.processes[0]->HasRelays(); }) < seconds{5});
-  cell.processes[0]->Freeze();
-  cell.processes[2]->Freeze();
-  REQUIRE(cell_of_three::Until([&] { return cell.processes[1]->Leads(); }) < seconds{5});
+// Most processes, the leader among them, lose power at once. They are still on the new leader's
+// member list; as relays they would lose its requests to workers.
+TEST_CASE("a new leader uses only processes that answered it as relays") {
+  constexpr int kManyWorkers = 200;
+  cell_of_three cell{kManyWorkers};
+  REQUIRE(cell_of_three::WaitUntil([&] { return cell.processes[0]->HasRelays(); }) < seconds{5});
+  cell.processes[0]->Suspend();
+  cell.processes[2]->Suspend();
+  REQUIRE(cell_of_three::WaitUntil([&] { return cell.processes[1]->Leads(); }) < seconds{5});
   std::this_thread::sleep_for(milliseconds{300});
   CHECK_FALSE(cell.processes[1]->HasRelays());
-  cell.processes[2]->Thaw();
-  CHECK(cell_of_three::Until([&] { return cell.processes[1]->HasRelays(); }) < seconds{5});
+  cell.processes[2]->Resume();
+  CHECK(cell_of_three::WaitUntil([&] { return cell.processes[1]->HasRelays(); }) < seconds{5});
 }
 
-// Another process stands still for a while and wakes: it must follow the leader that there is.
-TEST_CASE("a process that stood still doesn't take over") {
+// A process that doesn't lead is paused for a while. It must then follow the current leader.
+TEST_CASE("a process that was paused doesn't take over") {
   cell_of_three cell;
-  cell.processes[1]->Freeze();
+  cell.processes[1]->Suspend();
   std::this_thread::sleep_for(milliseconds{1'500});
-  cell.processes[1]->Thaw();
+  cell.processes[1]->Resume();
   std::this_thread::sleep_for(milliseconds{700});
   CHECK(cell.processes[0]->Leads());
   CHECK(cell.processes[1]->Ready());
--- a/test/rosearch/cell/peer_choice_test.cc
+++ b/test/rosearch/cell/peer_choice_test.cc
@@ -20,40 +20,40 @@
 
 }  // namespace
 
-// All processes of a large cell doubt its leader at the same moment. Where they all asked the same
-// few, those had no time to answer.
+// All processes of a large cell ask peers about a silent leader at the same time. When they all
+// asked the same few peers, those were too busy to answer.
 TEST_CASE("different processes choose different peers") {
-  constexpr int kCell = 300;
+  constexpr int kCellSize = 300;
   constexpr std::size_t kChosen = 16;
   std::map<std::string, std::size_t> chosen;
-  std::size_t most = 0;
-  for (const auto& self : Peers(kCell)) {
-    for (const auto& peer : HighestRanked(Peers(kCell), self, kChosen)) {
-      most = std::max(most, ++chosen[peer]);
+  std::size_t max_chosen = 0;
+  for (const auto& self : Peers(kCellSize)) {
+    for (const auto& peer : HighestRanked(Peers(kCellSize), self, kChosen)) {
+      max_chosen = std::max(max_chosen, ++chosen[peer]);
     }
   }
-  CHECK(most < 3 * kChosen);
-  CHECK(chosen.size() > kCell * 9 / 10);
+  CHECK(max_chosen < 3 * kChosen);
+  CHECK(chosen.size() > kCellSize * 9 / 10);
 }
 
-// One peer of many goes. Were all choices made anew, each process would ask peers to which it has
-// no connection yet, and hear nothing.
+// One of many peers is lost. If that changed all choices, each process would ask peers to which it
+// has no connection yet, and get no answer.
 TEST_CASE("the loss of a peer changes no other choice") {
   constexpr std::size_t kChosen = 16;
   const auto before = HighestRanked(Peers(100), "self", kChosen);
-  auto left = Peers(100);
-  std::erase(left, before.front());
-  const auto after = HighestRanked(left, "self", kChosen);
+  auto remaining = Peers(100);
+  std::erase(remaining, before.front());
+  const auto after = HighestRanked(remaining, "self", kChosen);
   REQUIRE(after.size() == kChosen);
   CHECK(std::equal(before.begin() + 1, before.end(), after.begin()));
 }
 
-TEST_CASE("all peers are chosen where there are few") {
+TEST_CASE("all peers are chosen if there are few") {
   CHECK(HighestRanked(Peers(3), "self", 16).size() == 3);
   CHECK(HighestRanked({}, "self", 16).empty());
 }
 
-TEST_CASE("relays grow with the workers that they carry") {
+TEST_CASE("the number of relays grows with the number of workers") {
   CHECK(RelaysFor(100) == 0);
   CHECK(RelaysFor(540) == 4);
   CHECK(RelaysFor(3'000) == 12);
--- a/test/rosearch/cell/peer_link_test.cc
+++ b/test/rosearch/cell/peer_link_test.cc
@@ -13,48 +13,48 @@
 
 namespace rosearch::cell {
 
-// A leader is replaced while requests of callers are on their way to it. Each waited for its answer
-// for a second before it went to the next leader.
-TEST_CASE("questions to a peer that is gone end when they are abandoned") {
+// A leader is replaced while callers' requests to it are in flight. Each waited one second for its
+// answer before it was sent to the new leader.
+TEST_CASE("requests to a lost peer end when they are abandoned") {
   boost::asio::io_context io;
   peer_link link{io, "127.0.0.1:0", 1, [](const wire::peer_frame&) {}};
   int ended = 0;
   const auto count = [&ended](const wire::peer_frame* answer) {
     ended += answer == nullptr ? 1 : 0;
   };
-  const auto long_enough = SteadyNow() + std::chrono::seconds{60};
-  link.Ask("127.0.0.1:9", {}, long_enough, count);
-  link.Ask("127.0.0.1:9", {}, long_enough, count);
-  link.Ask("127.0.0.1:10", {}, long_enough, count);
+  const auto far_deadline = SteadyNow() + std::chrono::seconds{60};
+  link.Ask("127.0.0.1:9", {}, far_deadline, count);
+  link.Ask("127.0.0.1:9", {}, far_deadline, count);
+  link.Ask("127.0.0.1:10", {}, far_deadline, count);
   link.Abandon("127.0.0.1:9");
   CHECK(ended == 2);
 }
 
-// Hundreds of peers ping a leader, which sends each the list of all. Kept in case a ping comes
-// again, the lists of a few seconds took all memory.
-TEST_CASE("answers to what is only read are not kept") {
+// A leader answers the pings of hundreds of peers with the member list. When these answers were
+// kept for repeated pings, a few seconds of them used up the memory.
+TEST_CASE("answers to read-only requests are not kept") {
   boost::asio::io_context io;
-  int asked = 0;
-  peer_link link{io, "127.0.0.1:0", 1, [&asked](const wire::peer_frame&) { ++asked; }};
-  const auto patience = SteadyNow() + std::chrono::seconds{1};
+  int received = 0;
+  peer_link link{io, "127.0.0.1:0", 1, [&received](const wire::peer_frame&) { ++received; }};
+  const auto deadline = SteadyNow() + std::chrono::seconds{1};
   wire::peer_frame ping;
   ping.mutable_ping();
   wire::peer_frame query;
   query.mutable_query();
   wire::peer_frame call;
   call.mutable_call();
-  link.Ask(link.address(), ping, patience, [](const wire::peer_frame*) {});
-  link.Ask(link.address(), query, patience, [](const wire::peer_frame*) {});
-  link.Ask(link.address(), call, patience, [](const wire::peer_frame*) {});
-  while (asked < 3 && SteadyNow() < patience) {
+  link.Ask(link.address(), ping, deadline, [](const wire::peer_frame*) {});
+  link.Ask(link.address(), query, deadline, [](const wire::peer_frame*) {});
+  link.Ask(link.address(), call, deadline, [](const wire::peer_frame*) {});
+  while (received < 3 && SteadyNow() < deadline) {
     io.run_one_for(std::chrono::milliseconds{20});
   }
   CHECK(link.Remembered() == 1);
 }
 
-// A new leader is busy, and its peers hold the list of members of the one before. They must hear it
-// all the same, and get the new list.
-TEST_CASE("pings of peers with an older list are answered beside the work") {
+// The peers of a busy new leader hold the former leader's member list. Their pings must still be
+// answered, with the new list.
+TEST_CASE("a busy leader answers pings of peers with an older member list") {
   boost::asio::io_context busy;
   peer_link leader{busy, "127.0.0.1:0", 1, [](const wire::peer_frame&) {}};
   auto members = std::make_unique<wire::peer_frame>();
@@ -69,43 +69,43 @@
   peer_link follower{io, "127.0.0.1:0", 1, [](const wire::peer_frame&) {}};
   wire::peer_frame ping;
   ping.mutable_ping()->set_members_version(6);
-  wire::peer_frame heard;
+  wire::peer_frame answered_frame;
   follower.Ask(leader.address(), ping, SteadyNow() + std::chrono::seconds{2},
-               [&heard](const wire::peer_frame* answer) {
+               [&answered_frame](const wire::peer_frame* answer) {
                  if (answer != nullptr) {
-                   heard = *answer;
+                   answered_frame = *answer;
                  }
                });
   const auto until = SteadyNow() + std::chrono::seconds{2};
-  while (!heard.has_pong() && SteadyNow() < until) {
+  while (!answered_frame.has_pong() && SteadyNow() < until) {
     io.run_one_for(std::chrono::milliseconds{20});
   }
-  CHECK(heard.pong().leading());
-  CHECK(heard.pong().members_version() == 7);
-  CHECK(heard.pong().members_size() == 1);
+  CHECK(answered_frame.pong().leading());
+  CHECK(answered_frame.pong().members_version() == 7);
+  CHECK(answered_frame.pong().members_size() == 1);
 }
 
-// A process of a large cell has used up its file descriptors. It ended by an exception that nobody
-// caught, and with it the connections of all its callers. Not with the sanitizer that looks at an
-// object's type through a pipe, which needs descriptors itself; there the case of `peer_transport`
-// that can make no more sockets stands for it.
+// A process of a large cell that ran out of file descriptors ended with an uncaught exception and
+// dropped the connections of all its callers. Not built with sanitizers: the one that checks object
+// types opens a pipe for it, which needs descriptors itself. There the `peer_transport` test that
+// cannot open more sockets covers this failure.
 #ifndef __SANITIZE_ADDRESS__
-TEST_CASE("a process without file descriptors left goes on") {
+TEST_CASE("a process without free file descriptors keeps running") {
   boost::asio::io_context io;
   peer_link* self = nullptr;
-  peer_link link{io, "127.0.0.1:0", 1, [&self](const wire::peer_frame& asked) {
+  peer_link link{io, "127.0.0.1:0", 1, [&self](const wire::peer_frame& request) {
                    wire::peer_frame answer;
                    answer.mutable_view();
-                   self->Answer(asked, std::move(answer));
+                   self->Answer(request, std::move(answer));
                  }};
   self = &link;
   rlimit before{};
   REQUIRE(getrlimit(RLIMIT_NOFILE, &before) == 0);
   const int next = dup(STDOUT_FILENO);
   close(next);
-  rlimit few = before;
-  few.rlim_cur = static_cast<rlim_t>(next);
-  REQUIRE(setrlimit(RLIMIT_NOFILE, &few) == 0);
+  rlimit limited = before;
+  limited.rlim_cur = static_cast<rlim_t>(next);
+  REQUIRE(setrlimit(RLIMIT_NOFILE, &limited) == 0);
   constexpr int kPeers = 20;
   for (int at = 1; at <= kPeers; ++at) {
     link.Tell("127.0.0.1:" + std::to_string(at), {});
--- a/test/rosearch/cell/walks_test.cc
+++ b/test/rosearch/cell/walks_test.cc
@@ -1,5 +1,5 @@
-// The walks of docs/OPERATIONS.md from an id to the cause: each produces its failure, and finds the
-// cause by the page's own commands.
+// Checks the diagnosis procedures (walks) in docs/OPERATIONS.md: each test causes a failure, runs
+// the commands of the page with the job's id and expects them to print the cause.
 #include <array>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -16,17 +16,20 @@
 namespace rosearch::cell {
 namespace {
 
-std::string Page() {
+std::string ReadOperationsPage() {
   std::ifstream file{std::string{ROSEARCH_SOURCE_DIR} + "/docs/OPERATIONS.md"};
   std::ostringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-/// @return what the commands of one walk print about a job.
-std::string Walk(const std::string& name, const std::vector<std::string>& lines,
-                 const std::string& id) {
-  const auto page = Page();
+/// @return the output of one walk's commands for a job.
+/// @param name the tag of the walk's code block in the page
+/// @param lines the log to search
+/// @param id the job's id
+std::string RunWalk(const std::string& name, const std::vector<std::string>& lines,
+                    const std::string& id) {
+  const auto page = ReadOperationsPage();
   const auto fence = "```sh " + name + "\n";
   const auto begin = page.find(fence);
   REQUIRE(begin != std::string::npos);
@@ -43,28 +46,28 @@
   std::ofstream{script} << "LOG=" << log << "\nID=" << id << '\n' << commands;
   const std::unique_ptr<FILE, int (*)(FILE*)> pipe{popen(("bash " + script).c_str(), "r"), pclose};
   REQUIRE(pipe);
-  std::string printed;
-  std::array<char, 512> part{};
-  while (fgets(part.data(), part.size(), pipe.get()) != nullptr) {
-    printed += part.data();
+  std::string output;
+  std::array<char, 512> buffer{};
+  while (fgets(buffer.data(), buffer.size(), pipe.get()) != nullptr) {
+    output += buffer.data();
   }
-  return printed;
+  return output;
 }
 
 }  // namespace
 
-// The store is away while a caller hands in a job; the caller gets 503.
-TEST_CASE("from a refused job's id to the store that was away") {
+// The store is unavailable while a caller submits a job; the caller gets 503.
+TEST_CASE("from a refused job's id to the unavailable store") {
   leading cell;
   cell.ports.silent = true;
   (void)cell.Ask("POST", "first", "job", milliseconds{2'000});
   cell.Run(milliseconds{700});
   CHECK(cell.Ask("POST", "5c0e7a21d94b36f8", "job")->status == 503);
-  const auto printed = Walk("walk-refused", cell.log.lines, "5c0e7a21d94b36f8");
-  CHECK(printed.find("reason=store_away") != std::string::npos);
+  const auto output = RunWalk("walk-refused", cell.log.lines, "5c0e7a21d94b36f8");
+  CHECK(output.find("reason=store_away") != std::string::npos);
 }
 
-// Every run of a task fails; the caller sees its job as failed.
+// Every run of a task fails, so the job fails.
 TEST_CASE("from a failed job's id to the worker of its last attempt") {
   sched::world_faults faults;
   faults.run_fails = 1;
@@ -77,21 +80,21 @@
   const auto id = world.Submit(job);
   world.Run(std::chrono::seconds{20});
   REQUIRE(world.Phase(id) == sched::job_phase::kFailed);
-  const auto printed = Walk("walk-failed", world.Log().lines, id);
-  CHECK(printed.find("how=failed") != std::string::npos);
-  CHECK(printed.find("last_worker=w") != std::string::npos);
+  const auto output = RunWalk("walk-failed", world.Log().lines, id);
+  CHECK(output.find("how=failed") != std::string::npos);
+  CHECK(output.find("last_worker=w") != std::string::npos);
 }
 
-// The append that carries a job is never answered; the caller waits, and gets 504.
+// The append of a job is never answered; the caller times out with 504.
 TEST_CASE("from an unanswered job's id to the append without an answer") {
   leading cell;
   cell.ports.silent = true;
   const auto answer = cell.Ask("POST", "5c0e7a21d94b36f8", "job", milliseconds{300});
   cell.Run(milliseconds{500});
   CHECK(answer->status == 504);
-  const auto printed = Walk("walk-unknown", cell.log.lines, "5c0e7a21d94b36f8");
-  CHECK(printed.find("event=caller_unanswered") != std::string::npos);
-  CHECK(printed.find("event=leader_serves") != std::string::npos);
+  const auto output = RunWalk("walk-unknown", cell.log.lines, "5c0e7a21d94b36f8");
+  CHECK(output.find("event=caller_unanswered") != std::string::npos);
+  CHECK(output.find("event=leader_serves") != std::string::npos);
 }
 
 }  // namespace rosearch::cell
