--- a/test/rosearch/cell/fake_ports.h
+++ b/test/rosearch/cell/fake_ports.h
@@ -91,8 +91,8 @@
     const bool first = watched.insert(watch.worker).second;
     std::erase_if(ended, [&](const auto& row) { return row.number <= watch.acked_end; });
     // A worker with nothing to report delays its answer (long poll).
-    const bool keeps_back = ended.empty() && watch.wait > duration{};
-    Later(milliseconds{keeps_back ? 50 : 5}, [this, first, done] {
+    const bool delays_answer = ended.empty() && watch.wait > duration{};
+    Later(milliseconds{delays_answer ? 50 : 5}, [this, first, done] {
       std::this_thread::sleep_for(first ? watch_costs : duration{});
       watch_answer answer;
       answer.report = sched::worker_report{{}, ended};
--- a/test/rosearch/cell/node_test.cc
+++ b/test/rosearch/cell/node_test.cc
@@ -128,7 +128,8 @@
   process(const process&) = delete;
   process& operator=(const process&) = delete;
 
-  /// Stops all threads and leaves connections open, as if the machine had lost power.
+  /// Stops the main thread and the replies to pings. Connections stay open, as if the machine had
+  /// lost power.
   void Suspend() {
     peers_.SetPingReply(nullptr, {});
     io_.stop();
@@ -188,9 +189,9 @@
  private:
   template <typename Predicate>
   bool OnThread(Predicate predicate) {
-    std::promise<bool> answered;
-    auto answer = answered.get_future();
-    boost::asio::post(io_, [&] { answered.set_value(predicate()); });
+    std::promise<bool> outcome;
+    auto answer = outcome.get_future();
+    boost::asio::post(io_, [&] { outcome.set_value(predicate()); });
     return answer.get();
   }
 
@@ -221,7 +222,7 @@
     std::this_thread::sleep_for(milliseconds{500});
   }
 
-  /// Waits until the predicate holds or the time is over.
+  /// Waits until the condition holds or `max_wait` is over.
   /// @return the time waited.
   template <typename Predicate>
   static duration WaitUntil(Predicate condition, duration max_wait = seconds{5}) {
@@ -325,7 +326,7 @@
 
 // The store is unavailable when the leader is lost. A small process must not have a claim in flight
 // then: when the store is back, that claim would be as likely to win as a large process's, and the
-// cell's load would exceed the small process's processor.
+// cell's load would exceed what the small process can handle.
 TEST_CASE("a small process claims only while the store answers") {
   claims_log claims;
   auto leader = std::make_unique<process>(claims, "127.0.0.1:47311", std::vector<std::string>{}, 1);
