--- a/test/adapter/codec_test.cc
+++ b/test/adapter/codec_test.cc
@@ -59,8 +59,9 @@
   CHECK_FALSE(read->draining);
 }
 
-// Another writer puts entries into the registry: parts are missing, of another type, or no JSON at
-// all. Used all the same, such an entry would get work that never starts.
+// Guards against registry entries of other writers whose members are missing or of the wrong type,
+// or that aren't JSON. If such an entry were accepted, tasks placed on that worker would never
+// start.
 TEST_CASE("an entry that can't be read in full names no worker") {
   const std::vector<std::pair<std::string, std::string>> changes{
       {R"("ready")", R"("broken")"},
@@ -92,7 +93,7 @@
   CHECK(job.steps[1].max_unavailable == 1U);
 }
 
-TEST_CASE("a job that makes no sense is refused with a reason") {
+TEST_CASE("an invalid job is refused with a reason") {
   const std::vector<std::pair<std::string, std::string>> changes{
       {R"("depends-on":[0])", R"("depends-on":[1])"},
       {R"("depends-on":[0])", R"("depends-on":0)"},
@@ -111,7 +112,7 @@
   CHECK(DecodeJob(R"({"spec":"x","steps":[]})").has_error());
 }
 
-TEST_CASE("bytes that were changed at random are read or refused, never more") {
+TEST_CASE("randomly changed bytes are decoded or refused without a crash") {
   random_source random{17};
   for (int round = 0; round < 20'000; ++round) {
     auto text = round % 3 == 0 ? kWorker : round % 3 == 1 ? kJob : kConfiguration;
