--- a/src/rosearch/cell/advice_desk.cc
+++ b/src/rosearch/cell/advice_desk.cc
@@ -23,7 +23,7 @@
 }
 
 void advice_desk::Add(sched::advice_query query, time_point now) {
-  auto& queue = CostOf(query) > kLong ? long_ : urgent_;
+  auto& queue = QueryCost(query) > kLong ? long_ : urgent_;
   auto due = now + kPutOff * static_cast<int>(query.priority);
   for (auto* const each_queue : {&urgent_, &long_}) {
     const auto same = [&](const waiting& other) { return other.query.step == query.step; };
@@ -55,7 +55,7 @@
     }
     if (auto* const free = FreeHelper(queue == &long_, now)) {
       assignment assigned{free->address, std::move(queue->front().query)};
-      free->busy_until = now + CostOf(assigned.query) + kAnswerGrace;
+      free->busy_until = now + QueryCost(assigned.query) + kAnswerGrace;
       queue->pop_front();
       return assigned;
     }
--- a/src/rosearch/cell/cell_settings.cc
+++ b/src/rosearch/cell/cell_settings.cc
@@ -139,10 +139,10 @@
       static_cast<std::int64_t>(in.Number("grace_s", 6, 0.5, 3'600) * 1000)};
   auto& scheduler = settings.leading.scheduler;
   scheduler.max_lease =
-      std::min(sched::kLongestLease, in.Milliseconds("max_lease_ms", scheduler.max_lease));
+      std::min(sched::kMaxWorkerLease, in.Milliseconds("max_lease_ms", scheduler.max_lease));
   scheduler.stop_timeout = in.Milliseconds("stop_timeout_ms", scheduler.stop_timeout);
   for (const auto& name : in.Texts("without")) {
-    const auto which = sched::MechanismNamed(name);
+    const auto which = sched::FindMechanism(name);
     if (!which) {
       return error{error_kind::kInvalidRequest, "without holds an unknown mechanism: " + name};
     }
--- a/src/rosearch/cell/internal/leader_callers.h
+++ b/src/rosearch/cell/internal/leader_callers.h
@@ -82,7 +82,7 @@
   job.max_attempts = rules.max_attempts;
   job.advice = rules.advice;
   job.accepted_ms = now.wall_ms;
-  const auto chain = std::chrono::duration<double, std::micro>{sched::LongestChain(job.steps)};
+  const auto chain = std::chrono::duration<double, std::micro>{sched::CriticalPath(job.steps)};
   job.objective =
       std::chrono::duration_cast<duration>(chain * rules.stretch) + rules.latency_target;
   // A job whose record may be stored must not be answered as refused, not even on a retry: the
--- a/src/rosearch/cell/leader.h
+++ b/src/rosearch/cell/leader.h
@@ -64,7 +64,7 @@
   /// because its entry may reappear.
   duration registry_grace{std::chrono::milliseconds{2'600}};
   /// No orders are sent when leadership has not been confirmed for this long. It is shorter than
-  /// `scheduler_settings::old_leader_silence` by the time that an order may take to arrive.
+  /// `scheduler_settings::former_leader_send_margin` by the time that an order may take to arrive.
   duration proof_life{std::chrono::milliseconds{1'500}};
   /// Maximum age of the last read of the claim log at which a job that is missing here is answered
   /// as unknown. A read waits for up to 1 s; every process must know a job 3 s after its
--- a/src/rosearch/sched/advice_book.h
+++ b/src/rosearch/sched/advice_book.h
@@ -50,34 +50,34 @@
   [[nodiscard]] bool Refused(const std::string& worker) const { return refused_.contains(worker); }
 
   /// Removes the allowance of a worker; call before the worker is destroyed.
-  void Drop(const worker_state* worker) {
+  void RemoveWorker(const worker_state* worker) {
     std::erase_if(allowed_, [&](const auto& each) { return each.worker == worker; });
   }
 
   /// Records that a query was sent.
   /// @param by  deadline of the answer; after it the query counts as lost.
-  void Ask(time_point now, time_point by) {
-    asked_at_ = now;
-    answer_by_ = by;
+  void RecordQuery(time_point now, time_point by) {
+    query_sent_at_ = now;
+    answer_deadline_ = by;
   }
   /// Records that the query was answered or has been given up.
-  void Answered() { answer_by_ = time_point{}; }
+  void EndQuery() { answer_deadline_ = time_point{}; }
   /// @return whether a query is under way and its deadline has not passed.
-  [[nodiscard]] bool Asking(time_point now) const { return now < answer_by_; }
+  [[nodiscard]] bool HasPendingQuery(time_point now) const { return now < answer_deadline_; }
   /// @return whether the deadline of an unanswered query has passed.
-  [[nodiscard]] bool Overdue(time_point now) const {
-    return answer_by_ != time_point{} && now >= answer_by_;
+  [[nodiscard]] bool IsQueryOverdue(time_point now) const {
+    return answer_deadline_ != time_point{} && now >= answer_deadline_;
   }
   /// @return the deadline of the unanswered query; zero if there is none.
-  [[nodiscard]] time_point answer_by() const { return answer_by_; }
+  [[nodiscard]] time_point answer_deadline() const { return answer_deadline_; }
   /// @return when the newest query was sent.
-  [[nodiscard]] time_point asked_at() const { return asked_at_; }
+  [[nodiscard]] time_point query_sent_at() const { return query_sent_at_; }
 
-  time_point ask_again_at{};  ///< earliest time of the next query
+  time_point next_query_at{};  ///< earliest time of the next query
 
  private:
-  time_point asked_at_{};
-  time_point answer_by_{};  ///< zero: no unanswered query
+  time_point query_sent_at_{};
+  time_point answer_deadline_{};  ///< zero: no unanswered query
   std::vector<allowance> allowed_;
   std::unordered_set<std::string> refused_;
 };
--- a/src/rosearch/sched/fill_index.cc
+++ b/src/rosearch/sched/fill_index.cc
@@ -12,15 +12,15 @@
 
 }  // namespace
 
-void fill_index::MoveChanged() {
+void fill_index::ReindexChanged() {
   for (auto* const worker : changed_) {
     worker->fill_changed = false;
-    Move(*worker);
+    Reindex(*worker);
   }
   changed_.clear();
 }
 
-void fill_index::Move(worker_state& worker) {
+void fill_index::Reindex(worker_state& worker) {
   const auto& name = worker.facts.pool;
   const entry now{FillOf(worker), &worker};
   const auto known = places_.find(&worker);
@@ -54,7 +54,7 @@
 }
 
 std::size_t fill_index::Size(const std::string& pool) {
-  MoveChanged();
+  ReindexChanged();
   const auto found = pools_.find(pool);
   return found == pools_.end() ? 0 : found->second.workers.size();
 }
--- a/src/rosearch/sched/fill_index.h
+++ b/src/rosearch/sched/fill_index.h
@@ -39,7 +39,7 @@
   template <typename Visitor>
   void VisitOpen(const std::string& pool, std::int64_t processors_milli, bool emptiest_first,
                  Visitor visit) {
-    MoveChanged();
+    ReindexChanged();
     const auto found = pools_.find(pool);
     if (found == pools_.end()) {
       return;
@@ -57,7 +57,7 @@
   /// Visits the workers of a pool that `VisitOpen` leaves out, lowest utilization first.
   template <typename Visitor>
   void VisitFull(const std::string& pool, std::int64_t processors_milli, Visitor visit) {
-    MoveChanged();
+    ReindexChanged();
     const auto found = pools_.find(pool);
     if (found == pools_.end()) {
       return;
@@ -88,8 +88,8 @@
     std::set<entry>::iterator at;
   };
 
-  void MoveChanged();
-  void Move(worker_state& worker);
+  void ReindexChanged();
+  void Reindex(worker_state& worker);
   [[nodiscard]] static std::set<entry>::const_iterator OpenEnd(const pool_workers& pool,
                                                                std::int64_t processors_milli);
 
--- a/src/rosearch/sched/job_state.cc
+++ b/src/rosearch/sched/job_state.cc
@@ -40,7 +40,7 @@
   return task_name{std::string{text}, *occurrence, *step, *index};
 }
 
-std::uint32_t step_state::Idle() const {
+std::uint32_t step_state::CountIdleTasks() const {
   // Fast path: usually all tasks run or are done, and each pass checks hundreds of steps.
   if (!spec->may_duplicate && runs.size() + done >= tasks.size()) {
     return 0;
@@ -79,7 +79,7 @@
   return *job.occurrences.back();
 }
 
-duration LongestChain(const std::vector<step_spec>& steps) {
+duration CriticalPath(const std::vector<step_spec>& steps) {
   std::vector<duration> ends(steps.size());
   duration longest{};
   for (std::size_t at = 0; at < steps.size(); ++at) {
--- a/src/rosearch/sched/job_state.h
+++ b/src/rosearch/sched/job_state.h
@@ -44,11 +44,11 @@
   /// too and in any order. With a plain counter or only the newest number, a failure could count
   /// twice, so that the job fails too early, or be missed, so that the task runs too often.
   std::vector<std::uint32_t> failed_runs;
-  std::string checkpoint;       ///< newest reported; empty: none
-  std::string failed_on;        ///< worker of the last failure
-  time_point not_before{};      ///< earliest start of the next run
-  duration took{};              ///< done: duration of its run; zero if unknown
-  std::uint32_t quick_ends{0};  ///< service: consecutive runs that ended early
+  std::string checkpoint;                   ///< newest reported; empty: none
+  std::string failed_on;                    ///< worker of the last failure
+  time_point not_before{};                  ///< earliest start of the next run
+  duration took{};                          ///< done: duration of its run; zero if unknown
+  std::uint32_t consecutive_early_ends{0};  ///< service: consecutive runs that ended early
 };
 
 /// @return whether a run of the task should be started.
@@ -66,19 +66,19 @@
   std::vector<live_run*> runs;  ///< active runs
   advice_book advice;
   std::uint32_t done{0};
-  bool open{false};               ///< its dependencies are done: tasks may start
-  bool listed{false};             ///< in the list of steps that a scheduling pass considers
-  std::uint32_t gang_runs{0};     ///< gang: runs started under the current leadership
-  bool reserves_room{false};      ///< holds a reservation on some worker
-  time_point open_since{};        ///< when it was opened
-  time_point reserve_again_at{};  ///< earliest next review of its reservations
-  bool clearing{false};           ///< gang: broken, waiting until all its runs have ended
-  std::uint64_t blocked_at{0};    ///< room version at which no worker had room
-  time_point look_again_at{};     ///< next placement attempt, unless room is freed earlier
-  time_point tell_waiting_at{};   ///< earliest next log line about what it waits for
+  bool open{false};                       ///< its dependencies are done: tasks may start
+  bool listed{false};                     ///< in the list of steps that a scheduling pass considers
+  std::uint32_t gang_runs{0};             ///< gang: runs started under the current leadership
+  bool reserves_room{false};              ///< holds a reservation on some worker
+  time_point open_since{};                ///< when it was opened
+  time_point next_reservation_at{};       ///< earliest next review of its reservations
+  bool stopping_gang{false};              ///< gang: broken, waiting until all its runs have ended
+  std::uint64_t blocked_room_version{0};  ///< room version at which no worker had room
+  time_point next_placement_at{};         ///< next placement attempt, unless room is freed earlier
+  time_point next_waiting_log_at{};       ///< earliest next log line about what it waits for
 
   /// @return the number of tasks that should be started.
-  [[nodiscard]] std::uint32_t Idle() const;
+  [[nodiscard]] std::uint32_t CountIdleTasks() const;
   /// @return JOB.OCCURRENCE.STEP.
   [[nodiscard]] std::string Name() const;
   [[nodiscard]] bool Finished() const { return done == tasks.size(); }
@@ -123,7 +123,7 @@
 occurrence_state& AddOccurrence(job_state& job);
 
 /// @return the length of the critical path through the steps, by their estimates.
-[[nodiscard]] duration LongestChain(const std::vector<step_spec>& steps);
+[[nodiscard]] duration CriticalPath(const std::vector<step_spec>& steps);
 
 /// @return the total work of a job, processors times estimates, in thousandths of a processor times
 ///         ms.
--- a/src/rosearch/sched/mechanism.cc
+++ b/src/rosearch/sched/mechanism.cc
@@ -5,8 +5,8 @@
 
 namespace rosearch::sched {
 
-std::optional<mechanism> MechanismNamed(std::string_view name) {
-  constexpr std::array<std::string_view, kMechanisms> kNames{
+std::optional<mechanism> FindMechanism(std::string_view name) {
+  constexpr std::array<std::string_view, kMechanismCount> kNames{
       "admission",     "reserve",        "preemption", "packing",        "health",
       "advice_ahead",  "reservation",    "rescue",     "speeds",         "hopeless_last",
       "advice_by_all", "batches_beside", "second_way", "early_election", "relays"};
--- a/src/rosearch/sched/mechanism.h
+++ b/src/rosearch/sched/mechanism.h
@@ -28,7 +28,7 @@
   kRelays,         ///< peers handle the worker traffic of a large cell
 };
 
-inline constexpr std::size_t kMechanisms = 15;
+inline constexpr std::size_t kMechanismCount = 15;
 
 /// A set of mechanisms.
 class mechanism_set {
@@ -41,11 +41,11 @@
   friend bool operator==(const mechanism_set&, const mechanism_set&) = default;
 
  private:
-  std::bitset<kMechanisms> bits_;
+  std::bitset<kMechanismCount> bits_;
 };
 
 /// @return the mechanism with that name in the settings; nothing if there is none.
-[[nodiscard]] std::optional<mechanism> MechanismNamed(std::string_view name);
+[[nodiscard]] std::optional<mechanism> FindMechanism(std::string_view name);
 
 }  // namespace rosearch::sched
 
--- a/src/rosearch/sched/order.h
+++ b/src/rosearch/sched/order.h
@@ -58,7 +58,7 @@
 };
 
 /// @return how long the advice service takes to answer a query.
-[[nodiscard]] inline duration CostOf(const advice_query& query) {
+[[nodiscard]] inline duration QueryCost(const advice_query& query) {
   return query.cost.base + query.cost.per_worker * static_cast<int>(query.workers.size());
 }
 
--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -35,7 +35,7 @@
   if (!worker) {
     worker = std::make_unique<worker_state>();
     worker->facts = facts;
-    worker->leaves_at = facts.draining ? now.steady + facts.least_time_left : kNever;
+    worker->leaves_at = facts.draining ? now.steady + facts.min_time_left : kNever;
     fill_.Update(*worker);
     workers_dirty_ = true;
     log_.Write(event_line{"worker_found", event_weight::kBelief}
@@ -48,18 +48,18 @@
   }
   worker->listed = true;
   if (facts.draining && !worker->facts.draining) {
-    worker->leaves_at = now.steady + facts.least_time_left;
+    worker->leaves_at = now.steady + facts.min_time_left;
     log_.Write(event_line{"worker_draining", event_weight::kBelief}
                    .Add("worker", facts.id)
                    .Add("runs", worker->runs.size())
-                   .Add("left_ms", facts.least_time_left));
+                   .Add("left_ms", facts.min_time_left));
   }
   if (worker->facts.draining != facts.draining) {
     worker->recorded = false;
     workers_dirty_ = true;
   }
   if (worker->facts.capacity != facts.capacity || worker->facts.draining != facts.draining) {
-    NoteRoom(*worker);
+    RecordFreedRoom(*worker);
   }
   worker->facts = facts;
   fill_.Update(*worker);
@@ -101,7 +101,7 @@
   const bool answers = live && worker.silent_watches == 0;
   watch_request watch{id, worker.facts.address, worker.acked_end, answers, duration{}};
   if (answers && worker.seen_end == worker.acked_end) {
-    watch.wait = worker.runs.empty() || Late() ? kIdleWatchTimeout : kBusyWatchTimeout;
+    watch.wait = worker.runs.empty() || IsOverloaded() ? kIdleWatchTimeout : kBusyWatchTimeout;
   }
   if (answers) {
     worker.lease_until = std::max(worker.lease_until, now.steady + LongestLease());
@@ -119,7 +119,7 @@
     return worker.silent_watches > 0 ? kSilentRetryInterval : duration{};
   }
   const auto interval_for_all = kUnackedWatchIntervalPerWorker * static_cast<int>(workers_.size());
-  const auto collect_delay = Late() ? std::min(loop_delay_, kMaxCollectDelay) : duration{};
+  const auto collect_delay = IsOverloaded() ? std::min(loop_delay_, kMaxCollectDelay) : duration{};
   return worker.seen_end > worker.acked_end
              ? std::max({kUnackedWatchInterval, interval_for_all, collect_delay})
              : collect_delay;
@@ -130,10 +130,10 @@
   // Admitted jobs delay the process only some time after their admission, so an overloaded process
   // halves the number of jobs that it admits per tick.
   const auto admitted = std::exchange(admitted_since_tick_, 0);
-  if (Late()) {
+  if (IsOverloaded()) {
     admission_limit_ = std::max(1U, std::min(admitted, admission_limit_) / 2);
   } else {
-    admission_limit_ = std::min(admission_limit_ + 1, kAnyNumber);
+    admission_limit_ = std::min(admission_limit_ + 1, kNoAdmissionLimit);
   }
 }
 
--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -88,8 +88,8 @@
 /// Why a watch returned no report.
 enum class watch_failure : std::uint8_t {
   kNoAnswer,
-  kOtherLife,   ///< another incarnation of the worker answered
-  kStaleFence,  ///< the worker has accepted a newer leader's fence
+  kOtherIncarnation,  ///< another incarnation of the worker answered
+  kStaleFence,        ///< the worker has accepted a newer leader's fence
 };
 
 /// Counts about the cell's state, for operators.
@@ -103,7 +103,7 @@
   std::size_t unsettled{0};      ///< see `scheduler::OldRunsSettled`: workers without an answer yet
   duration oldest_report{};      ///< max age of the newest report over all live workers
   std::uint64_t placement_attempts{0};  ///< attempts to place a waiting step, since the start
-  std::uint64_t worker_looks{0};        ///< workers considered for a waiting step, since the start
+  std::uint64_t workers_considered{0};  ///< workers considered for a waiting step, since the start
 
   friend bool operator==(const cell_counts&, const cell_counts&) = default;
 };
@@ -268,8 +268,8 @@
   /// @return extra time to collect inputs before a scheduling pass: an overloaded leader handles
   ///         more inputs per pass.
   [[nodiscard]] duration PassPause() const;
-  /// @return whether the event loop is overloaded: its delay exceeds `kLate`.
-  [[nodiscard]] bool Late() const { return loop_delay_ > kLate; }
+  /// @return whether the event loop is overloaded: its delay exceeds `kOverloadDelay`.
+  [[nodiscard]] bool IsOverloaded() const { return loop_delay_ > kOverloadDelay; }
   /// Runs a scheduling pass, which places all tasks that fit. Call after inputs; several inputs may
   /// share one pass.
   void Schedule(const instant& now);
@@ -394,11 +394,11 @@
   /// Records that a step found no room.
   void Block(step_state& step, const instant& now) const;
   /// Records that room was freed at a worker.
-  void NoteRoom(worker_state& worker) { worker.room_version = ++room_version_; }
+  void RecordFreedRoom(worker_state& worker) { worker.room_version = ++room_version_; }
   /// Records that any step may find room now.
-  void NoteRoomEverywhere() { all_room_version_ = ++room_version_; }
+  void RecordRoomForAnyStep() { all_room_version_ = ++room_version_; }
   /// Records that a step may have tasks to start, because it opened or a run of it ended.
-  void NoteWaiting(step_state& step) {
+  void AddWaitingStep(step_state& step) {
     const bool counts = step.open && !IsTerminal(step.job->phase);
     if (counts && !std::exchange(step.listed, true)) {
       waiting_steps_.push_back(&step);
@@ -484,13 +484,13 @@
   /// A leader whose event loop is delayed by more than this sheds load: it watches workers less
   /// often, handles more inputs per pass, doesn't judge workers by times that include its own
   /// delay, and admits fewer jobs.
-  static constexpr duration kLate = std::chrono::milliseconds{50};
-  static constexpr std::uint32_t kAnyNumber = 1U << 20U;
+  static constexpr duration kOverloadDelay = std::chrono::milliseconds{50};
+  static constexpr std::uint32_t kNoAdmissionLimit = 1U << 20U;
   /// Max workers with room considered in a large pool; considering more gives no better placement.
-  static constexpr std::size_t kEnoughWorkers = 120;
+  static constexpr std::size_t kMaxConsideredWorkers = 120;
   /// Max unreachable workers after a leader change for which advice is requested. If there are
   /// more, most are about to answer.
-  static constexpr std::size_t kMostUnseen = 8;
+  static constexpr std::size_t kMaxUnreachableWorkers = 8;
 
   scheduler_settings settings_;
   std::uint64_t epoch_;
@@ -523,11 +523,11 @@
   std::uint64_t all_room_version_{1};  ///< room version of the last change that may affect any step
   std::uint64_t next_batch_{1};
   std::uint64_t placement_attempts_{0};
-  std::uint64_t worker_looks_{0};
+  std::uint64_t workers_considered_{0};
   duration newest_delay_{};  ///< last value passed to `NoteDelay`
   duration loop_delay_{};  ///< smaller of the last two delays, so that one late tick has no effect
-  std::uint32_t admitted_since_tick_{0};       ///< jobs admitted since the last tick
-  std::uint32_t admission_limit_{kAnyNumber};  ///< max jobs admitted until the next tick
+  std::uint32_t admitted_since_tick_{0};              ///< jobs admitted since the last tick
+  std::uint32_t admission_limit_{kNoAdmissionLimit};  ///< max jobs admitted until the next tick
   std::map<std::uint64_t, stored_effects> storing_;
   time_point next_forget_{};
   time_point restored_at_{};
--- a/src/rosearch/sched/scheduler_advice.cc
+++ b/src/rosearch/sched/scheduler_advice.cc
@@ -27,7 +27,7 @@
 
 std::vector<std::string> scheduler::UnseenToAskAbout(const step_state& step) const {
   std::vector<std::string> unsettled;
-  if (!step.job->restored || unsettled_.size() > kMostUnseen) {
+  if (!step.job->restored || unsettled_.size() > kMaxUnreachableWorkers) {
     return unsettled;
   }
   for (const auto& [id, lapses_at] : unsettled_) {
@@ -47,7 +47,7 @@
 // step doesn't have to wait for this one.
 void scheduler::AskAboutUnseen(step_state& step, const instant& now) {
   if (step.job->accepted && step.job->advice && !UnseenToAskAbout(step).empty()) {
-    AskAdvice(step, step.Idle(), now);
+    AskAdvice(step, step.CountIdleTasks(), now);
   }
 }
 
@@ -60,7 +60,7 @@
   for (std::size_t index = 0; index < workers.size(); ++index) {
     scored.emplace_back(Score(step, *workers[index]), index);
   }
-  const auto count = std::min(scored.size(), settings_.most_names);
+  const auto count = std::min(scored.size(), settings_.max_workers_per_query);
   std::ranges::partial_sort(scored, scored.begin() + static_cast<std::ptrdiff_t>(count));
   std::vector<worker_state*> best;
   best.reserve(count);
@@ -74,7 +74,7 @@
   const auto min_expiry = now.steady + settings_.ticket_margin;
   advice_candidates found;
   const auto consider = [&](worker_state& worker) {
-    ++worker_looks_;
+    ++workers_considered_;
     if (step.advice.Refused(worker.facts.id) || !MayRun(step, nullptr, worker, now)) {
       return;
     }
@@ -96,7 +96,7 @@
     const auto& pool = step.job->pool;
     const auto wanted = ProcessorsWanted(step);
     const auto enough = [&] {
-      return found.allowed.size() + found.unknown.size() >= kEnoughWorkers;
+      return found.allowed.size() + found.unknown.size() >= kMaxConsideredWorkers;
     };
     fill_.VisitOpen(pool, wanted, Urgent(step), [&](worker_state& worker) {
       consider(worker);
@@ -105,7 +105,7 @@
     if (!enough()) {
       fill_.VisitFull(pool, wanted, [&](worker_state& worker) {
         consider(worker);
-        return found.full.size() < settings_.most_names;
+        return found.full.size() < settings_.max_workers_per_query;
       });
     }
   }
@@ -123,7 +123,7 @@
   const auto add_names = [&](const std::vector<worker_state*>& workers, double allowed_share) {
     for (const auto* const worker : workers) {
       const bool enough = expected >= wanted && names.size() >= kMinNames;
-      if (enough || names.size() >= settings_.most_names) {
+      if (enough || names.size() >= settings_.max_workers_per_query) {
         return;
       }
       names.push_back(worker->facts.id);
@@ -140,7 +140,7 @@
   const auto workers_per_base_cost = cost.base / std::max<duration>(cost.per_worker, duration{1});
   const auto prefetched =
       static_cast<std::size_t>(kPrefetchCostShare * static_cast<double>(workers_per_base_cost));
-  const auto max_names = std::min(names.size() + prefetched, settings_.most_names);
+  const auto max_names = std::min(names.size() + prefetched, settings_.max_workers_per_query);
   for (const auto* const worker : found.full) {
     if (names.size() >= max_names) {
       break;
@@ -156,7 +156,7 @@
   }
   auto names = WhomToName(step, tasks, now);
   if (names.empty()) {
-    step.advice.ask_again_at = now.steady + settings_.ticket_margin;
+    step.advice.next_query_at = now.steady + settings_.ticket_margin;
     return;
   }
   SendQuestion(step, std::move(names), tasks, now);
@@ -165,7 +165,7 @@
 void scheduler::SendQuestion(step_state& step, std::vector<std::string> workers,
                              std::uint32_t tasks, const instant& now) {
   advice_query query{step.Name(), std::move(workers), *step.job->advice, step.job->priority};
-  step.advice.Ask(now.steady, now.steady + CostOf(query) + settings_.advice_patience);
+  step.advice.RecordQuery(now.steady, now.steady + QueryCost(query) + settings_.advice_timeout);
   log_.Write(event_line{"advice_asked", event_weight::kDetail}
                  .Add("job", step.job->spec->id)
                  .Add("step", query.step)
@@ -178,17 +178,17 @@
 // giving up an overdue query, its step would wait for advice forever even with room for all its
 // tasks.
 bool scheduler::MayAsk(step_state& step, const instant& now) {
-  if (step.advice.Asking(now.steady) || now.steady < step.advice.ask_again_at) {
+  if (step.advice.HasPendingQuery(now.steady) || now.steady < step.advice.next_query_at) {
     return false;
   }
-  if (!step.advice.Overdue(now.steady)) {
+  if (!step.advice.IsQueryOverdue(now.steady)) {
     return true;
   }
   log_.Write(event_line{"advice_overdue", event_weight::kFailure}
                  .Add("job", step.job->spec->id)
                  .Add("step", step.Name())
-                 .Add("asked_ms_ago", now.steady - step.advice.asked_at()));
-  step.advice.Answered();
+                 .Add("asked_ms_ago", now.steady - step.advice.query_sent_at()));
+  step.advice.EndQuery();
   return true;
 }
 
@@ -200,10 +200,10 @@
   if (step == nullptr) {
     return;
   }
-  step->advice.Answered();
-  step->blocked_at = 0;
+  step->advice.EndQuery();
+  step->blocked_room_version = 0;
   if (allowed == nullptr) {
-    step->advice.ask_again_at = now.steady + settings_.advice_retry;
+    step->advice.next_query_at = now.steady + settings_.advice_retry_interval;
     log_.Write(event_line{"advice_missing", event_weight::kFailure}
                    .Add("job", name->job)
                    .Add("step", asked.step));
@@ -226,7 +226,7 @@
                  .Add("step", asked.step)
                  .Add("asked", asked.workers.size())
                  .Add("allowed", allowed->size())
-                 .Add("took_ms", now.steady - step->advice.asked_at()));
+                 .Add("took_ms", now.steady - step->advice.query_sent_at()));
 }
 
 }  // namespace rosearch::sched
--- a/src/rosearch/sched/scheduler_gangs.cc
+++ b/src/rosearch/sched/scheduler_gangs.cc
@@ -50,7 +50,7 @@
 }
 
 void scheduler::PlaceGang(step_state& step, const instant& now) {
-  if (step.clearing || !step.runs.empty()) {
+  if (step.stopping_gang || !step.runs.empty()) {
     return;
   }
   const bool backing_off = std::ranges::any_of(
@@ -127,7 +127,7 @@
     // a member come first.
     std::stable_partition(unknown.begin(), unknown.end(),
                           [&](const auto* worker) { return Fits(step, *worker); });
-    unknown.resize(std::min(unknown.size(), settings_.most_names));
+    unknown.resize(std::min(unknown.size(), settings_.max_workers_per_query));
     named = std::move(unknown);
   }
   std::vector<std::string> names;
--- a/src/rosearch/sched/scheduler_jobs.cc
+++ b/src/rosearch/sched/scheduler_jobs.cc
@@ -111,7 +111,7 @@
   for (auto& [id, job] : jobs_) {
     ResolveRules(*job);
   }
-  NoteRoomEverywhere();
+  RecordRoomForAnyStep();
 }
 
 bool scheduler::FitsSomewhere(const job_spec& job) const {
@@ -140,7 +140,7 @@
 }
 
 double scheduler::MeanSlackMs(const job_spec& job) {
-  const auto chain = std::chrono::duration<double, std::milli>{LongestChain(job.steps)}.count();
+  const auto chain = std::chrono::duration<double, std::milli>{CriticalPath(job.steps)}.count();
   const auto objective = std::chrono::duration<double, std::milli>{job.objective}.count();
   const double own = std::max(0.0, objective - chain);
   auto& mean = mean_slack_ms_.try_emplace(job.queue, own).first->second;
@@ -191,7 +191,7 @@
     }
     for (const auto& occurrence : job->occurrences) {
       for (const auto& step : occurrence->steps) {
-        const auto idle = occurrence->done || step->spec->service ? 0U : step->Idle();
+        const auto idle = occurrence->done || step->spec->service ? 0U : step->CountIdleTasks();
         const auto ms = std::chrono::duration<double, std::milli>{step->spec->estimate}.count();
         load.waiting[job->priority] +=
             idle * static_cast<double>(step->spec->need.processors_milli) * ms;
@@ -215,7 +215,7 @@
 // that became slow. Without it, new jobs would also delay all jobs accepted before them.
 double scheduler::WaitsForLeaderMs(const job_spec& job) const {
   const auto delay = std::chrono::duration<double, std::milli>{loop_delay_}.count();
-  return delay * settings_.turns_per_step * static_cast<double>(job.steps.size());
+  return delay * settings_.loop_waits_per_step * static_cast<double>(job.steps.size());
 }
 
 // Refuses jobs that can't start in time to meet their objective, for example during bursts of long
@@ -350,13 +350,13 @@
     if (ready) {
       step->open = true;
       step->open_since = now.steady;
-      step->tell_waiting_at = now.steady + kWaitLogDelay;
+      step->next_waiting_log_at = now.steady + kWaitLogDelay;
       open_steps_.push_back(step.get());
-      NoteWaiting(*step);
+      AddWaitingStep(*step);
       log_.Write(event_line{"step_open", event_weight::kDetail}
                      .Add("job", job.spec->id)
                      .Add("step", step->Name())
-                     .Add("tasks", step->Idle())
+                     .Add("tasks", step->CountIdleTasks())
                      .Add("left_ms", job.finish_by - now.steady));
     }
   }
@@ -410,8 +410,8 @@
   if (step.spec->service) {
     // A service has no maximum number of attempts. The backoff prevents a restart loop when its
     // runs fail at once.
-    task.quick_ends = std::min(task.quick_ends + 1, 4U);
-    const duration backoff = std::chrono::milliseconds{100} * (1U << task.quick_ends);
+    task.consecutive_early_ends = std::min(task.consecutive_early_ends + 1, 4U);
+    const duration backoff = std::chrono::milliseconds{100} * (1U << task.consecutive_early_ends);
     task.not_before = now.steady + std::min(backoff, kMaxServiceBackoff);
     return;
   }
@@ -482,7 +482,8 @@
     return;
   }
   next_forget_ = now.steady + kForgetInterval;
-  const auto keep = std::chrono::duration_cast<std::chrono::milliseconds>(settings_.keep_ended);
+  const auto keep =
+      std::chrono::duration_cast<std::chrono::milliseconds>(settings_.ended_retention);
   std::erase_if(ended_, [&](const auto& each) {
     const bool expired = now.wall_ms - each.second.ended_ms > keep.count();
     if (expired) {
--- a/src/rosearch/sched/scheduler_placement.cc
+++ b/src/rosearch/sched/scheduler_placement.cc
@@ -94,7 +94,7 @@
   if (!worker.MayStart() || facts.pool != step.job->pool) {
     return false;
   }
-  if ((settings_.Uses(mechanism::kHealth) && !worker.health.Usable(now.steady)) ||
+  if ((settings_.Uses(mechanism::kHealth) && !worker.health.IsUsable(now.steady)) ||
       !facts.HasLabel(spec.required_label)) {
     return false;
   }
@@ -146,7 +146,7 @@
   if (!spec.data_rack.empty() && spec.data_rack != worker.facts.rack) {
     score += kOffDataRackPenalty;
   }
-  if (worker.health.Suspect()) {
+  if (worker.health.IsSuspect()) {
     score += kSuspectPenalty;
   }
   if (settings_.Uses(mechanism::kSpeeds)) {
@@ -173,7 +173,7 @@
   double best_score = 0;
   std::size_t eligible = 0;
   const auto consider = [&](worker_state& worker) {
-    ++worker_looks_;
+    ++workers_considered_;
     if (!Fits(step, worker) || !MayRun(step, &task, worker, now)) {
       return;
     }
@@ -194,7 +194,7 @@
   if (!advised) {
     fill_.VisitOpen(step.job->pool, ProcessorsWanted(step), Urgent(step), [&](worker_state& each) {
       consider(each);
-      return eligible < kEnoughWorkers;
+      return eligible < kMaxConsideredWorkers;
     });
     return best;
   }
@@ -211,25 +211,25 @@
 // pass would use all of the leader's time when the queue is longest, although the end of a run
 // matters only to the few steps that may run on its worker.
 bool scheduler::StillBlocked(const step_state& step, const instant& now) const {
-  if (step.blocked_at < all_room_version_ || now.steady >= step.look_again_at) {
+  if (step.blocked_room_version < all_room_version_ || now.steady >= step.next_placement_at) {
     return false;
   }
   if (step.job->restored && !Startable(step)) {
     return true;  // freed room doesn't unblock it
   }
   if (!step.job->advice) {
-    return step.blocked_at == room_version_;
+    return step.blocked_room_version == room_version_;
   }
   return std::ranges::none_of(step.advice.Allowed(), [&](const auto& allowance) {
-    return allowance.worker->room_version > step.blocked_at;
+    return allowance.worker->room_version > step.blocked_room_version;
   });
 }
 
 void scheduler::Block(step_state& step, const instant& now) const {
-  step.blocked_at = room_version_;
-  step.look_again_at = now.steady + kBlockedRetryInterval;
-  if (step.advice.answer_by() > now.steady) {
-    step.look_again_at = std::min(step.look_again_at, step.advice.answer_by());
+  step.blocked_room_version = room_version_;
+  step.next_placement_at = now.steady + kBlockedRetryInterval;
+  if (step.advice.answer_deadline() > now.steady) {
+    step.next_placement_at = std::min(step.next_placement_at, step.advice.answer_deadline());
   }
 }
 
@@ -240,8 +240,8 @@
   std::erase_if(open_steps_,
                 [](const auto* step) { return step->Finished() || IsTerminal(step->job->phase); });
   for (auto* const step : open_steps_) {
-    if (step->Idle() > 0) {
-      NoteWaiting(*step);
+    if (step->CountIdleTasks() > 0) {
+      AddWaitingStep(*step);
     }
   }
 }
@@ -259,7 +259,7 @@
   };
   std::vector<std::pair<decltype(key(nullptr)), step_state*>> sorted;
   std::erase_if(waiting_steps_,
-                [](auto* step) { return step->Idle() == 0 && MarkUnlisted(*step); });
+                [](auto* step) { return step->CountIdleTasks() == 0 && MarkUnlisted(*step); });
   for (auto* const step : waiting_steps_) {
     if (!StillBlocked(*step, now)) {
       sorted.emplace_back(key(step), step);
--- a/src/rosearch/sched/scheduler_progress.cc
+++ b/src/rosearch/sched/scheduler_progress.cc
@@ -99,7 +99,7 @@
 }
 
 void scheduler::NoteSpeed(const live_run& run, duration took) {
-  if (run.step == nullptr || !run.checkpoint.empty() || run.step->spec->service || Late()) {
+  if (run.step == nullptr || !run.checkpoint.empty() || run.step->spec->service || IsOverloaded()) {
     return;
   }
   const auto typical = TypicalTime(*run.step, *run.worker);
@@ -110,7 +110,7 @@
   const double ratio =
       std::chrono::duration<double>{took} / std::chrono::duration<double>{*typical};
   if (ratio < settings_.slow_factor) {
-    run.worker->health.Swift();
+    run.worker->health.RecordNormalRun();
   }
   // The first runs have a larger weight, since a new leader starts without any speed history.
   const double weight = std::max(kMinSlownessWeight, 1.0 / (2.0 + run.worker->speed_runs++));
@@ -130,13 +130,13 @@
   }
   const auto max_share =
       static_cast<std::size_t>(settings_.rescue_share * static_cast<double>(runs));
-  return moving < std::max(max_share, settings_.least_rescues);
+  return moving < std::max(max_share, settings_.min_rescues);
 }
 
 void scheduler::RescueSlowRuns(worker_state& worker, const instant& now) {
   // Reports that waited in an overloaded leader make every run look slow, and moving runs would add
   // to its load.
-  if (!settings_.Uses(mechanism::kRescue) || Late()) {
+  if (!settings_.Uses(mechanism::kRescue) || IsOverloaded()) {
     return;
   }
   std::vector<std::pair<live_run*, run_outlook>> slow;
@@ -161,8 +161,8 @@
   if (slow.empty() || slow.size() * 2 <= judged || !conclusive) {
     return;
   }
-  if (worker.health.Usable(now.steady)) {
-    const auto pause = worker.health.Slow(settings_, now.steady);
+  if (worker.health.IsUsable(now.steady)) {
+    const auto pause = worker.health.RecordSlowRun(settings_, now.steady);
     log_.Write(event_line{"worker_slow", event_weight::kBelief}
                    .Add("worker", worker.facts.id)
                    .Add("slow_runs", slow.size())
@@ -197,8 +197,8 @@
   } else if (step.spec->may_duplicate) {
     run.copied = true;
     step.tasks[run.index].wants_copy = true;
-    step.blocked_at = 0;
-    NoteWaiting(step);
+    step.blocked_room_version = 0;
+    AddWaitingStep(step);
   } else {
     StopRun(run, stop_reason::kSlow, now);
   }
--- a/src/rosearch/sched/scheduler_reports.cc
+++ b/src/rosearch/sched/scheduler_reports.cc
@@ -78,7 +78,7 @@
   run.phase = run_phase::kRunning;
   run.checkpoint = row.checkpoint;
   run.percent = row.percent;
-  run.known_at = now.steady;
+  run.confirmed_at = now.steady;
   log_.Write(event_line{"run_adopted", event_weight::kDetail}
                  .Add("task", row.task)
                  .Add("run", row.run)
@@ -96,11 +96,11 @@
     const bool listed = std::ranges::any_of(report.running, [&](const running_row& row) {
       return row.run == run.run && row.task == run.task;
     });
-    if (listed || run.known_at >= sent_at) {
+    if (listed || run.confirmed_at >= sent_at) {
       run.missing = false;
       continue;
     }
-    const bool stopped = run.phase == run_phase::kStopping && run.stop_heard;
+    const bool stopped = run.phase == run_phase::kStopping && run.stop_acknowledged;
     const bool missing_twice = run.phase == run_phase::kRunning && std::exchange(run.missing, true);
     if (stopped || missing_twice) {
       ended_runs.push_back(&run);
@@ -125,7 +125,7 @@
                    .Add("running", report.running.size())
                    .Add("ended", report.ended.size())
                    .Add("silent_watches", worker.silent_watches));
-    NoteRoom(worker);
+    RecordFreedRoom(worker);
     workers_dirty_ = workers_dirty_ || !worker.recorded;
   }
   for (const auto& row : report.ended) {
@@ -147,7 +147,7 @@
     }
     if (run.phase == run_phase::kStarting || run.phase == run_phase::kUnsure) {
       run.phase = run_phase::kRunning;
-      run.known_at = now.steady;
+      run.confirmed_at = now.steady;
     }
     if (!row.checkpoint.empty()) {
       run.checkpoint = row.checkpoint;
@@ -196,7 +196,7 @@
     return;
   }
   auto& worker = *found->second;
-  if (failure == watch_failure::kOtherLife) {
+  if (failure == watch_failure::kOtherIncarnation) {
     LoseRuns(worker, "restarted", now);
     SettleWorker(worker_id, "restarted", now);
     DropWorker(worker_id);
@@ -221,8 +221,8 @@
   }
   // While many workers are unsettled, old tasks wait for all of them, so a single answer can't
   // unblock a step.
-  if (unsettled_.size() <= kMostUnseen) {
-    NoteRoomEverywhere();
+  if (unsettled_.size() <= kMaxUnreachableWorkers) {
+    RecordRoomForAnyStep();
   }
   if (how != "answered") {
     log_.Write(event_line{"old_worker_settled", event_weight::kBelief}
@@ -247,7 +247,7 @@
   for (const auto& [job_id, job] : jobs_) {
     for (const auto& occurrence : job->occurrences) {
       for (const auto& step : occurrence->steps) {
-        step->advice.Drop(found->second.get());
+        step->advice.RemoveWorker(found->second.get());
       }
     }
   }
@@ -265,11 +265,11 @@
       continue;
     }
     const auto& spec = *run->step->spec;
-    const auto limit = std::max<duration>(settings_.stuck_after, spec.estimate / 2);
+    const auto limit = std::max<duration>(settings_.stuck_timeout, spec.estimate / 2);
     if (spec.uses_leftover || now.steady - run->progressed_at < limit) {
       continue;
     }
-    if (worker.health.Bad(settings_, now.steady)) {
+    if (worker.health.RecordFailure(settings_, now.steady)) {
       log_.Write(event_line{"worker_quarantined", event_weight::kBelief}
                      .Add("worker", worker.facts.id)
                      .Add("cause", "no_progress"));
@@ -287,7 +287,7 @@
   if (!worker.facts.draining || worker.session != session_phase::kLive) {
     return;
   }
-  const auto stop_at = worker.leaves_at - settings_.stop_timeout - settings_.stuck_after / 2;
+  const auto stop_at = worker.leaves_at - settings_.stop_timeout - settings_.stuck_timeout / 2;
   for (const auto& [task, run] : worker.runs) {
     if (run->phase != run_phase::kRunning || run->step == nullptr) {
       continue;
--- a/src/rosearch/sched/scheduler_reservations.cc
+++ b/src/rosearch/sched/scheduler_reservations.cc
@@ -102,11 +102,11 @@
 
 void scheduler::ReserveWorkers(step_state& step, std::uint32_t tasks, const instant& now) {
   const bool reservation_due = now.steady >= step.open_since + settings_.reserve_after &&
-                               now.steady >= step.reserve_again_at;
+                               now.steady >= step.next_reservation_at;
   if (!settings_.Uses(mechanism::kReservation) || !reservation_due || step.spec->uses_leftover) {
     return;
   }
-  step.reserve_again_at = now.steady + settings_.reserve_every;
+  step.next_reservation_at = now.steady + settings_.reservation_interval;
   std::size_t pool_size = 0;
   std::size_t others = 0;
   std::vector<const worker_state*> before;
@@ -122,11 +122,12 @@
     }
   }
   const auto max_reserved = std::max<std::size_t>(
-      1, static_cast<std::size_t>(settings_.reserved_most * static_cast<double>(pool_size)));
+      1, static_cast<std::size_t>(settings_.max_reserved_share * static_cast<double>(pool_size)));
   auto chosen = Reservable(step, now);
   // Where many workers are suitable, one of them soon has room, and a reservation only leaves room
   // unused: under load of twice the capacity, it lowered the share of jobs in time from 39% to 35%.
-  if (static_cast<double>(chosen.size()) > settings_.few_workers * static_cast<double>(pool_size)) {
+  if (static_cast<double>(chosen.size()) >
+      settings_.max_eligible_share * static_cast<double>(pool_size)) {
     ReleaseReservations(step);
     return;
   }
@@ -141,7 +142,7 @@
   step.reserves_room = true;
   for (auto* const worker : chosen) {
     worker->reservation = room_reservation{&step, step.job->priority, step.spec->need,
-                                           now.steady + 2 * settings_.reserve_every};
+                                           now.steady + 2 * settings_.reservation_interval};
     const bool stops = !step.spec->need.FitsIn(worker->FreeFor(step)) &&
                        settings_.Uses(mechanism::kPreemption) && MakeRoomAt(step, *worker, now);
     if (std::ranges::find(before, worker) != before.end()) {
@@ -164,7 +165,7 @@
   for (const auto& [id, worker] : workers_) {
     if (worker->ReservedFor(step)) {
       worker->reservation.reset();
-      NoteRoom(*worker);
+      RecordFreedRoom(*worker);
     }
   }
 }
--- a/src/rosearch/sched/scheduler_runs.cc
+++ b/src/rosearch/sched/scheduler_runs.cc
@@ -31,7 +31,7 @@
 
 duration scheduler::LongestLease() const {
   const auto lease_bound = std::chrono::duration<double, std::micro>{settings_.max_lease} *
-                           (1.0 + settings_.clock_slack);
+                           (1.0 + settings_.max_clock_drift);
   return std::chrono::duration_cast<duration>(lease_bound) + settings_.lapse_margin;
 }
 
@@ -86,7 +86,7 @@
 
 void scheduler::OrderStop(live_run& run, const instant& now) {
   const auto& facts = run.worker->facts;
-  run.next_try = now.steady + settings_.stop_retry;
+  run.retry_at = now.steady + settings_.stop_retry_interval;
   orders_.emplace_back(stop_order{facts.id, facts.address, run.task, run.run});
 }
 
@@ -129,7 +129,7 @@
   }
   run.phase = run_phase::kStopping;
   run.reason = reason;
-  run.stop_heard = false;
+  run.stop_acknowledged = false;
   OrderStop(run, now);
   log_.Write(event_line{"run_stopping", reason == stop_reason::kJobOver ? event_weight::kDetail
                                                                         : event_weight::kFailure}
@@ -150,11 +150,11 @@
     --step.tasks[run.index].live;
     --step.job->live;
     std::erase(step.runs, &run);
-    NoteWaiting(step);
+    AddWaitingStep(step);
     worker.service_runs -= step.spec->service ? 1 : 0;
     worker.leftover_runs -= step.spec->uses_leftover ? 1 : 0;
     if (step.runs.empty()) {
-      step.clearing = false;
+      step.stopping_gang = false;
     }
     if (step.job->live == 0 && IsTerminal(step.job->phase)) {
       retiring_.push_back(step.job->spec->id);
@@ -162,7 +162,7 @@
   } else {
     --worker.strangers;
   }
-  NoteRoom(worker);
+  RecordFreedRoom(worker);
   worker.runs.erase(std::string{run.task});
 }
 
@@ -184,15 +184,15 @@
                  .Add("reason", StopReasonName(run.reason))
                  .Add("took_ms", took));
   if (how == end_kind::kDone) {
-    worker.health.Good();
+    worker.health.RecordSuccess();
     NoteSpeed(run, took);
-  } else if (how == end_kind::kFailed && worker.health.Bad(settings_, now.steady)) {
+  } else if (how == end_kind::kFailed && worker.health.RecordFailure(settings_, now.steady)) {
     log_.Write(event_line{"worker_quarantined", event_weight::kBelief}
                    .Add("worker", worker.facts.id)
                    .Add("cause", "failures"));
   }
   if (step != nullptr && step->spec->service && took > kMinServiceUptime) {
-    step->tasks[index].quick_ends = 0;
+    step->tasks[index].consecutive_early_ends = 0;
   }
   Detach(run);
   if (step == nullptr) {
@@ -251,10 +251,10 @@
 }
 
 void scheduler::BreakGang(step_state& step, const instant& now) {
-  if (step.runs.empty() || step.clearing) {
+  if (step.runs.empty() || step.stopping_gang) {
     return;
   }
-  step.clearing = true;
+  step.stopping_gang = true;
   const auto runs = step.runs;
   for (auto* const run : runs) {
     StopRun(*run, stop_reason::kGangBroken, now);
@@ -266,8 +266,8 @@
     deposed_ = true;
     return;
   }
-  if (outcome == start_outcome::kOtherLife) {
-    OnWatchFailed(sent.worker, watch_failure::kOtherLife, now);
+  if (outcome == start_outcome::kOtherIncarnation) {
+    OnWatchFailed(sent.worker, watch_failure::kOtherIncarnation, now);
     return;
   }
   auto* const run = FindRun(sent.worker, sent.task, sent.run);
@@ -276,7 +276,7 @@
   }
   if (outcome == start_outcome::kStarted) {
     run->phase = run_phase::kRunning;
-    run->known_at = now.steady;
+    run->confirmed_at = now.steady;
     return;
   }
   log_.Write(event_line{"start_unanswered", event_weight::kFailure}
@@ -289,12 +289,12 @@
     // The worker already executed another copy of this order, and that run has ended. A later
     // report will contain its end; if the start were handled as refused, the task would run twice.
     run->phase = run_phase::kRunning;
-    run->known_at = now.steady;
+    run->confirmed_at = now.steady;
     return;
   }
   if (outcome == start_outcome::kUnknown) {
     run->phase = run_phase::kUnsure;
-    run->next_try = now.steady;
+    run->retry_at = now.steady;
     return;
   }
   RefuseStart(*run, outcome, now);
@@ -303,16 +303,16 @@
 void scheduler::RefuseStart(live_run& run, start_outcome outcome, const instant& now) {
   auto& worker = *run.worker;
   if (outcome == start_outcome::kUnhealthy) {
-    worker.health.Bad(settings_, now.steady);
-    worker.health.Pause(now.steady + settings_.refusal_pause);
+    worker.health.RecordFailure(settings_, now.steady);
+    worker.health.ExcludeUntil(now.steady + settings_.refusal_pause);
   } else if (outcome == start_outcome::kBadTicket) {
     if (auto* const allowance = run.step->advice.Find(&worker)) {
       allowance->expires = time_point{};
     }
   } else if (outcome == start_outcome::kNotSent) {
-    worker.health.Pause(now.steady + kUnreachableBackoff);
+    worker.health.ExcludeUntil(now.steady + kUnreachableBackoff);
   } else {
-    worker.health.Pause(now.steady + settings_.refusal_pause);
+    worker.health.ExcludeUntil(now.steady + settings_.refusal_pause);
   }
   if (run.tries > 1) {
     // An earlier copy of the order was never answered and may still be executed. Without the stop,
@@ -333,9 +333,9 @@
     return;
   }
   if (heard) {
-    run->stop_heard = true;
-    run->known_at = now.steady;
-    run->next_try = kNever;
+    run->stop_acknowledged = true;
+    run->confirmed_at = now.steady;
+    run->retry_at = kNever;
   }
 }
 
@@ -344,13 +344,13 @@
     return;  // retried once the worker answers again; otherwise its lease expires
   }
   for (const auto& [task, run] : worker.runs) {
-    if (run->next_try > now.steady) {
+    if (run->retry_at > now.steady) {
       continue;
     }
-    if (run->phase == run_phase::kStopping && !run->stop_heard) {
+    if (run->phase == run_phase::kStopping && !run->stop_acknowledged) {
       OrderStop(*run, now);
       TellRepeated(*run, "stop");
-    } else if (run->phase == run_phase::kUnsure && run->tries >= settings_.start_tries) {
+    } else if (run->phase == run_phase::kUnsure && run->tries >= settings_.max_start_attempts) {
       StopRun(*run, stop_reason::kUnanswered, now);
     } else if (run->phase == run_phase::kUnsure) {
       ++run->tries;
--- a/src/rosearch/sched/scheduler_store.cc
+++ b/src/rosearch/sched/scheduler_store.cc
@@ -47,7 +47,7 @@
         worker->facts.pool = stored.pool();
         worker->listed = false;
       }
-      worker->lease_until = now.steady + settings_.old_leader_silence + LongestLease();
+      worker->lease_until = now.steady + settings_.former_leader_send_margin + LongestLease();
       if (stored.closed()) {
         worker->held_tasks.assign(stored.tasks().begin(), stored.tasks().end());
       } else {
@@ -203,7 +203,7 @@
                             found->second->session == session_phase::kLive;
     if (still_open && !found->second->recorded) {
       found->second->recorded = true;
-      NoteRoom(*found->second);
+      RecordFreedRoom(*found->second);
     }
   }
   RetireEnded(now);
--- a/src/rosearch/sched/scheduler_views.cc
+++ b/src/rosearch/sched/scheduler_views.cc
@@ -40,7 +40,7 @@
   counts.workers = workers_.size();
   counts.unsettled = unsettled_.size();
   counts.placement_attempts = placement_attempts_;
-  counts.worker_looks = worker_looks_;
+  counts.workers_considered = workers_considered_;
   for (const auto& [id, worker] : workers_) {
     counts.runs += worker->runs.size();
     if (worker->session != session_phase::kLive) {
@@ -51,7 +51,7 @@
     counts.oldest_report = std::max(counts.oldest_report, now.steady - worker->report_sent_at);
   }
   for (const auto* const step : open_steps_) {
-    counts.waiting_tasks += step->Idle();
+    counts.waiting_tasks += step->CountIdleTasks();
   }
   return counts;
 }
@@ -63,7 +63,7 @@
     view.what = "nothing";
   } else if (!step.open) {
     view.what = "earlier_steps";
-  } else if (step.Idle() == 0) {
+  } else if (step.CountIdleTasks() == 0) {
     view.what = "its_runs";
   } else if (!step.job->accepted) {
     view.what = "store";
@@ -76,7 +76,7 @@
   for (const auto& [id, worker] : workers_) {
     if (!worker->MayStart()) {
       ++view.out_of_use;
-    } else if (!worker->health.Usable(now.steady)) {
+    } else if (!worker->health.IsUsable(now.steady)) {
       ++view.left_alone;
     } else if (!MayRun(step, nullptr, *worker, now)) {
       ++view.unfit;
@@ -97,15 +97,15 @@
 }
 
 void scheduler::TellWaiting(step_state& step, const instant& now) {
-  if (now.steady < step.tell_waiting_at) {
+  if (now.steady < step.next_waiting_log_at) {
     return;
   }
-  step.tell_waiting_at = now.steady + kWaitLogInterval;
+  step.next_waiting_log_at = now.steady + kWaitLogInterval;
   const auto wait = WhyWaiting(step, now);
   log_.Write(event_line{"step_waits", event_weight::kDetail}
                  .Add("job", step.job->spec->id)
                  .Add("step", step.Name())
-                 .Add("idle", step.Idle())
+                 .Add("idle", step.CountIdleTasks())
                  .Add("left_ms", step.job->finish_by - now.steady)
                  .Add("waits_for", wait.what)
                  .Add("unsettled", wait.unsettled)
@@ -131,11 +131,11 @@
         << " lease_ms=" << Millis(worker->lease_until - now.steady)
         << " report_ms_ago=" << Millis(now.steady - worker->report_sent_at)
         << " unacked=" << worker->seen_end - worker->acked_end
-        << " usable=" << worker->health.Usable(now.steady) << '\n';
+        << " usable=" << worker->health.IsUsable(now.steady) << '\n';
   }
   for (const auto* const step : open_steps_) {
-    out << "step " << step->Name() << " idle=" << step->Idle() << " done=" << step->done << '/'
-        << step->tasks.size() << " asking=" << step->advice.Asking(now.steady)
+    out << "step " << step->Name() << " idle=" << step->CountIdleTasks() << " done=" << step->done
+        << '/' << step->tasks.size() << " asking=" << step->advice.HasPendingQuery(now.steady)
         << " left_ms=" << Millis(step->job->finish_by - now.steady)
         << " waits_for=" << WhyWaiting(*step, now) << '\n';
   }
@@ -164,7 +164,7 @@
   for (const auto& occurrence : job.occurrences) {
     for (const auto& step : occurrence->steps) {
       out << "step " << step->Name() << " done=" << step->done << '/' << step->tasks.size()
-          << " idle=" << step->Idle() << " waits_for=" << WhyWaiting(*step, now) << '\n';
+          << " idle=" << step->CountIdleTasks() << " waits_for=" << WhyWaiting(*step, now) << '\n';
       for (const auto* const run : step->runs) {
         out << "run " << run->task << " run=" << run->run << " worker=" << run->worker->facts.id
             << " phase=" << RunPhaseName(run->phase) << " percent=" << run->percent
--- a/src/rosearch/sched/worker_facts.h
+++ b/src/rosearch/sched/worker_facts.h
@@ -22,8 +22,8 @@
   std::string rack;
   std::vector<std::string> labels;  ///< all labels, including `kind` and `rack`
   resources capacity{};
-  bool draining{false};        ///< it is leaving: nothing new may start there
-  duration least_time_left{};  ///< while draining: min time until it leaves
+  bool draining{false};      ///< it is leaving: nothing new may start there
+  duration min_time_left{};  ///< while draining: min time until it leaves
 
   /// @return whether the worker has a label; true for the empty label.
   [[nodiscard]] bool HasLabel(const std::string& label) const {
@@ -36,11 +36,11 @@
 /// How a run ended, as reported by the worker.
 enum class end_kind : std::uint8_t {
   kDone,
-  kFailed,   ///< through a fault of the task or of the worker
-  kStopped,  ///< on the scheduler's order
-  kLapsed,   ///< the worker's lease expired
-  kBroken,   ///< another member of its gang ended
-  kAlone,    ///< the other members of its gang didn't start
+  kFailed,           ///< through a fault of the task or of the worker
+  kStopped,          ///< on the scheduler's order
+  kLapsed,           ///< the worker's lease expired
+  kGangMemberEnded,  ///< another member of its gang ended
+  kGangIncomplete,   ///< the other members of its gang didn't start
   kLost,  ///< concluded by the scheduler: the worker restarted, or its lease has certainly expired
 };
 
@@ -77,17 +77,17 @@
 
 /// Result of a start order.
 enum class start_outcome : std::uint8_t {
-  kStarted,     ///< it runs, or had already been started
-  kNotSent,     ///< certainly never reached the worker
-  kNoRoom,      ///< refused: would exceed the worker's capacity
-  kBadTicket,   ///< refused: the ticket has expired or isn't valid
-  kStaleFence,  ///< refused: the worker has accepted a newer leader's fence
-  kStaleRun,    ///< refused: the worker has seen that run or a newer one
-  kTooLate,     ///< refused: the lease in the order had expired on arrival
-  kUnhealthy,   ///< refused: the worker reports bad health
-  kRejected,    ///< refused permanently
-  kOtherLife,   ///< another incarnation of the worker answered: the addressed one is gone
-  kUnknown,     ///< no answer: it may be running, or start seconds later
+  kStarted,           ///< it runs, or had already been started
+  kNotSent,           ///< certainly never reached the worker
+  kNoRoom,            ///< refused: would exceed the worker's capacity
+  kBadTicket,         ///< refused: the ticket has expired or isn't valid
+  kStaleFence,        ///< refused: the worker has accepted a newer leader's fence
+  kStaleRun,          ///< refused: the worker has seen that run or a newer one
+  kTooLate,           ///< refused: the lease in the order had expired on arrival
+  kUnhealthy,         ///< refused: the worker reports bad health
+  kRejected,          ///< refused permanently
+  kOtherIncarnation,  ///< another incarnation of the worker answered: the addressed one is gone
+  kUnknown,           ///< no answer: it may be running, or start seconds later
 };
 
 }  // namespace rosearch::sched
--- a/src/rosearch/sched/worker_state.cc
+++ b/src/rosearch/sched/worker_state.cc
@@ -18,23 +18,23 @@
   return kNames.at(static_cast<std::size_t>(how));
 }
 
-bool worker_health::Bad(const scheduler_settings& settings, time_point now) {
-  ++in_a_row_;
-  if (in_a_row_ < settings.failures_to_quarantine && pauses_ == 0) {
+bool worker_health::RecordFailure(const scheduler_settings& settings, time_point now) {
+  ++consecutive_failures_;
+  if (consecutive_failures_ < settings.failures_to_quarantine && quarantines_ == 0) {
     return false;
   }
-  const auto doubled = settings.quarantine * (1U << std::min(pauses_, 10U));
-  shunned_until_ = now + std::min(doubled, settings.longest_quarantine);
-  ++pauses_;
-  in_a_row_ = 0;
+  const auto doubled = settings.quarantine * (1U << std::min(quarantines_, 10U));
+  excluded_until_ = now + std::min(doubled, settings.max_quarantine);
+  ++quarantines_;
+  consecutive_failures_ = 0;
   return true;
 }
 
-duration worker_health::Slow(const scheduler_settings& settings, time_point now) {
-  const auto doubled = settings.quarantine * (1U << std::min(slow_pauses_, 10U));
-  const auto pause = std::min(doubled, settings.longest_quarantine);
-  shunned_until_ = std::max(shunned_until_, now + pause);
-  ++slow_pauses_;
+duration worker_health::RecordSlowRun(const scheduler_settings& settings, time_point now) {
+  const auto doubled = settings.quarantine * (1U << std::min(slow_quarantines_, 10U));
+  const auto pause = std::min(doubled, settings.max_quarantine);
+  excluded_until_ = std::max(excluded_until_, now + pause);
+  ++slow_quarantines_;
   return pause;
 }
 
--- a/src/rosearch/sched/worker_state.h
+++ b/src/rosearch/sched/worker_state.h
@@ -67,47 +67,49 @@
   std::uint32_t percent{0};
   std::uint32_t tries{1};      ///< number of times that the start order was sent
   time_point started_at{};     ///< when the start order was first sent
-  time_point known_at{};       ///< when the worker confirmed the start, or the stop
+  time_point confirmed_at{};   ///< when the worker confirmed the start, or the stop
   time_point progressed_at{};  ///< when `percent` last increased
   /// Start of the speed measurement: the start of the run, or its first report if it resumed from a
   /// checkpoint or was adopted from an earlier leader.
   std::optional<progress_mark> measured_from{};
-  bool copied{false};           ///< another copy was started because this run is slow
-  time_point next_try{kNever};  ///< when an unanswered order is retried
-  bool stop_heard{false};       ///< the worker acknowledged the stop order
-  bool missing{false};          ///< missing from the last report, which should have listed it
-  std::uint32_t pace{100};      ///< speed limit set by the scheduler, in percent
-  std::uint32_t load{0};        ///< see `running_row::load`
+  bool copied{false};             ///< another copy was started because this run is slow
+  time_point retry_at{kNever};    ///< when an unanswered order is retried
+  bool stop_acknowledged{false};  ///< the worker acknowledged the stop order
+  bool missing{false};            ///< missing from the last report, which should have listed it
+  std::uint32_t pace{100};        ///< speed limit set by the scheduler, in percent
+  std::uint32_t load{0};          ///< see `running_row::load`
 };
 
 /// Tracks failures and slow runs of a worker, and excludes it from placement after them.
 class worker_health {
  public:
   /// Records a successful run.
-  void Good() {
-    in_a_row_ = 0;
-    pauses_ = 0;
+  void RecordSuccess() {
+    consecutive_failures_ = 0;
+    quarantines_ = 0;
   }
   /// Records a run that failed, got stuck or was refused for bad health.
   /// @return whether the worker is now quarantined.
-  bool Bad(const scheduler_settings& settings, time_point now);
+  bool RecordFailure(const scheduler_settings& settings, time_point now);
   /// Records a run that is far slower than its siblings elsewhere.
   /// @return how long the worker is quarantined.
-  duration Slow(const scheduler_settings& settings, time_point now);
+  duration RecordSlowRun(const scheduler_settings& settings, time_point now);
   /// Records a run that was as fast as its siblings elsewhere.
-  void Swift() { slow_pauses_ = 0; }
+  void RecordNormalRun() { slow_quarantines_ = 0; }
   /// Excludes the worker from placement until a time, without counting a failure.
-  void Pause(time_point until) { shunned_until_ = std::max(shunned_until_, until); }
+  void ExcludeUntil(time_point until) { excluded_until_ = std::max(excluded_until_, until); }
 
-  [[nodiscard]] bool Usable(time_point now) const { return now >= shunned_until_; }
+  [[nodiscard]] bool IsUsable(time_point now) const { return now >= excluded_until_; }
   /// @return whether a task that has already failed should preferably run elsewhere.
-  [[nodiscard]] bool Suspect() const { return in_a_row_ > 0 || pauses_ > 0 || slow_pauses_ > 0; }
+  [[nodiscard]] bool IsSuspect() const {
+    return consecutive_failures_ > 0 || quarantines_ > 0 || slow_quarantines_ > 0;
+  }
 
  private:
-  std::uint32_t in_a_row_{0};
-  std::uint32_t pauses_{0};
-  std::uint32_t slow_pauses_{0};
-  time_point shunned_until_{};
+  std::uint32_t consecutive_failures_{0};
+  std::uint32_t quarantines_{0};
+  std::uint32_t slow_quarantines_{0};
+  time_point excluded_until_{};
 };
 
 /// State of the leader's session with a worker.
--- a/test/rosearch/cell/advice_desk_test.cc
+++ b/test/rosearch/cell/advice_desk_test.cc
@@ -67,7 +67,7 @@
       }
     }
     while (const auto next = desk.Next(now)) {
-      busy_until[next->helper] = now + CostOf(next->query);
+      busy_until[next->helper] = now + QueryCost(next->query);
       record_wait(next->query.step, now);
       pending_since.erase(next->query.step);
       next_query_at[next->query.step] = now + std::chrono::seconds{2};
@@ -148,7 +148,7 @@
       }
     }
     while (const auto next = desk.Next(kStart + now)) {
-      busy_until[next->helper] = now + CostOf(next->query);
+      busy_until[next->helper] = now + QueryCost(next->query);
       if (next->query.priority == 0) {
         waited += now - added[next->query.step];
         ++urgent;
@@ -198,7 +198,7 @@
   const auto lost = desk.Next(kStart);
   REQUIRE(lost);
   desk.Add(Query("next", false), kStart);
-  const auto back_at = kStart + CostOf(lost->query) + advice_desk::kAnswerGrace;
+  const auto back_at = kStart + QueryCost(lost->query) + advice_desk::kAnswerGrace;
   CHECK_FALSE(desk.Next(back_at - milliseconds{1}));
   CHECK(desk.Next(back_at)->query.step == "next");
 }
--- a/test/rosearch/sched/cell_world.cc
+++ b/test/rosearch/sched/cell_world.cc
@@ -356,7 +356,7 @@
                                 time_point lease_end) {
   auto* const worker = Find(order.worker);
   if (worker == nullptr) {
-    return start_outcome::kOtherLife;
+    return start_outcome::kOtherIncarnation;
   }
   AdvanceWorker(*worker);
   if (fence < worker->fence) {
@@ -470,7 +470,7 @@
   if (faults_.advice_lost > 0 && random_.Chance(faults_.advice_lost)) {
     return;
   }
-  const auto cost = CostOf(decided);
+  const auto cost = QueryCost(decided);
   auto answered_at = now_ + cost;
   if (!advice_free_at_.empty()) {
     auto& free_at = *std::ranges::min_element(advice_free_at_);
@@ -520,7 +520,7 @@
     }
   };
   if (worker == nullptr || !Reachable(*worker) || epoch < worker->fence) {
-    const auto failure = worker == nullptr       ? watch_failure::kOtherLife
+    const auto failure = worker == nullptr       ? watch_failure::kOtherIncarnation
                          : epoch < worker->fence ? watch_failure::kStaleFence
                                                  : watch_failure::kNoAnswer;
     After(failure == watch_failure::kNoAnswer ? kAnswerTimeout : kNetworkDelay,
@@ -619,7 +619,7 @@
   job.payload = "payload";
   job.max_attempts = kMaxAttempts;
   job.accepted_ms = Now().wall_ms;
-  job.objective = LongestChain(job.steps) * 3 / 2 + std::chrono::milliseconds{250};
+  job.objective = CriticalPath(job.steps) * 3 / 2 + std::chrono::milliseconds{250};
   auto& known = jobs_[job.id];
   known.spec = job;
   known.handed_in = now_;
--- a/test/rosearch/sched/scheduler_test.cc
+++ b/test/rosearch/sched/scheduler_test.cc
@@ -313,7 +313,7 @@
   (void)fixture.Store();
   const auto first = fixture.Starts().at(0);
   fixture.leader.OnStartAnswer(first, start_outcome::kStarted, fixture.now);
-  fixture.leader.OnWatchFailed(first.worker, watch_failure::kOtherLife, fixture.now);
+  fixture.leader.OnWatchFailed(first.worker, watch_failure::kOtherIncarnation, fixture.now);
   CHECK(fixture.Starts().size() == 1);
 }
 
@@ -509,14 +509,15 @@
       (void)fixture.Submit(prefix + std::to_string(at), 4);
     }
     (void)fixture.Store();
-    const auto before = fixture.leader.Counts(fixture.now).worker_looks;
+    const auto before = fixture.leader.Counts(fixture.now).workers_considered;
     fixture.leader.Schedule(fixture.now);
     std::vector<advice_query> queries;
     for (auto& each : fixture.leader.TakeOrders()) {
       queries.push_back(std::get<advice_query>(std::move(each)));
     }
     REQUIRE(queries.size() == kJobs);
-    CHECK(fixture.leader.Counts(fixture.now).worker_looks - before <= kJobs * kMaxVisitsPerQuery);
+    CHECK(fixture.leader.Counts(fixture.now).workers_considered - before <=
+          kJobs * kMaxVisitsPerQuery);
     return queries;
   };
   SECTION("most are empty") {
@@ -573,7 +574,7 @@
   runs_second.running = {{"a.0.1.0", 1, {}, 10, 0}};
   next.AddWorker("w0", runs_second);
   next.AddWorker("w1");
-  next.leader.OnWatchFailed("w0", watch_failure::kOtherLife, next.now);
+  next.leader.OnWatchFailed("w0", watch_failure::kOtherIncarnation, next.now);
   for (int pass = 0; pass < 3; ++pass) {
     next.now.steady += milliseconds{60};
     for (const auto& task : next.Started()) {
@@ -630,7 +631,7 @@
         orders, [](const auto& each) { return std::holds_alternative<advice_query>(each); });
   };
   CHECK(count_queries() == 1);
-  fixture.AdvanceTime(scheduler_settings{}.advice_patience);
+  fixture.AdvanceTime(scheduler_settings{}.advice_timeout);
   CHECK(count_queries() == 0);
   fixture.AdvanceTime(milliseconds{30});
   CHECK(count_queries() == 1);
