--- a/src/rosearch/cell/internal/leader_callers.h
+++ b/src/rosearch/cell/internal/leader_callers.h
@@ -128,7 +128,7 @@
   const auto queue = rules->Key();
   const auto id = request.path.substr(rules->path_prefix.size());
   if (id.empty() && request.method == "GET") {
-    answer({200, Ports::EncodeWaiting(scheduler_.Waiting(queue)), 0, false});
+    answer({200, Ports::EncodeWaiting(scheduler_.CountWaitingJobs(queue)), 0, false});
     return;
   }
   if (!Ports::IsJobId(id)) {
--- a/src/rosearch/cell/internal/leader_orders.h
+++ b/src/rosearch/cell/internal/leader_orders.h
@@ -81,7 +81,7 @@
     return;
   }
   const auto now = SteadyNow();
-  const auto pause = std::max(settings_.pass, scheduler_.PassPause());
+  const auto pause = std::max(settings_.pass, scheduler_.ExtraPassDelay());
   if (now - passed_at_ >= pause) {
     passed_at_ = now;
     scheduler_.Schedule(Now());
@@ -234,7 +234,7 @@
       self.scheduler_.OnWatchFailed(worker, answer.failure, Now());
     }
     self.PumpSoon();
-    const auto pause = self.scheduler_.WatchPause(worker, Now());
+    const auto pause = self.scheduler_.WatchDelay(worker, Now());
     if (pause > duration{}) {
       self.WatchAfter(worker, pause);
     } else {
--- a/src/rosearch/cell/internal/leader_store.h
+++ b/src/rosearch/cell/internal/leader_store.h
@@ -182,7 +182,7 @@
   // sequence number, so all batches are retried until the store reports their outcome.
   batch->may_be_stored = batch->may_be_stored || answer.outcome == append_outcome::kUnknown;
   ++batches_.front().failures;
-  scheduler_.RefuseUnsent();
+  scheduler_.RefuseUnsentJobs();
   Settle();
   After(writer_timer_, settings_.store_retry, [](leader& self) { self.SendAgain(); });
 }
--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -109,7 +109,7 @@
   return watch;
 }
 
-duration scheduler::WatchPause(const std::string& id, const instant&) const {
+duration scheduler::WatchDelay(const std::string& id, const instant&) const {
   const auto found = workers_.find(id);
   if (found == workers_.end()) {
     return {};
@@ -137,16 +137,16 @@
   }
 }
 
-duration scheduler::PassPause() const {
+duration scheduler::ExtraPassDelay() const {
   // A quarter of the delay that all inputs already have adds little to their waiting time.
   return std::min(loop_delay_ / 4, kMaxPassDelay);
 }
 
 void scheduler::Tick(const instant& now) {
-  Forget(now);
+  ForgetEndedJobs(now);
   for (const auto& [id, worker] : workers_) {
     if (worker->session != session_phase::kLive && now.steady >= worker->lease_until) {
-      LoseRuns(*worker, "lease_lapsed", now);
+      EndRunsAsLost(*worker, "lease_lapsed", now);
       SettleWorker(id, "lease_lapsed", now);
     }
     if (worker->reservation && worker->reservation->until <= now.steady) {
@@ -154,11 +154,11 @@
     }
     RetryOrders(*worker, now);
     StopStuckRuns(*worker, now);
-    EmptyLeavingWorker(*worker, now);
+    StopRunsOnDrainingWorker(*worker, now);
   }
   for (const auto& [id, job] : jobs_) {
     if (job->accepted && !IsTerminal(job->phase) && job->spec->occurrences > 0) {
-      OpenDue(*job, now);
+      OpenDueOccurrences(*job, now);
     }
   }
   ListSteps();
@@ -166,10 +166,10 @@
     // A gang can't work if only some of its members were found after a leader change.
     if (step->spec->gang && !step->runs.empty() && OldRunsSettled() &&
         step->runs.size() < step->tasks.size()) {
-      BreakGang(*step, now);
+      StopGang(*step, now);
     }
   }
-  RetireEnded(now);
+  RetireEndedJobs(now);
 }
 
 }  // namespace rosearch::sched
--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -206,7 +206,7 @@
   /// @return the stored phase of a job, as callers see it; nothing if there is no such job.
   [[nodiscard]] std::optional<job_phase> Phase(std::string_view id, std::string_view queue) const;
   /// @return the number of accepted jobs of a queue that haven't started yet.
-  [[nodiscard]] std::size_t Waiting(std::string_view queue) const;
+  [[nodiscard]] std::size_t CountWaitingJobs(std::string_view queue) const;
 
   // Workers.
 
@@ -221,7 +221,7 @@
   [[nodiscard]] std::optional<watch_request> NextWatch(const std::string& worker,
                                                        const instant& now);
   /// @return the delay before the next watch of a worker.
-  [[nodiscard]] duration WatchPause(const std::string& worker, const instant& now) const;
+  [[nodiscard]] duration WatchDelay(const std::string& worker, const instant& now) const;
   void OnReport(const std::string& worker, time_point sent_at, const worker_report& report,
                 const instant& now);
   void OnWatchFailed(const std::string& worker, watch_failure failure, const instant& now);
@@ -250,7 +250,7 @@
   void OnNotStored(std::uint64_t number);
   /// Refuses every new job that is in no batch yet. Called while the store is unavailable, so that
   /// callers learn it immediately and can retry in time.
-  void RefuseUnsent();
+  void RefuseUnsentJobs();
   /// @return whether a job was submitted and is neither accepted nor refused yet.
   [[nodiscard]] bool IsPending(std::string_view id) const;
   /// @return results for callers that became available since the last call.
@@ -267,7 +267,7 @@
   void NoteDelay(duration delay);
   /// @return extra time to collect inputs before a scheduling pass: an overloaded leader handles
   ///         more inputs per pass.
-  [[nodiscard]] duration PassPause() const;
+  [[nodiscard]] duration ExtraPassDelay() const;
   /// @return whether the event loop is overloaded: its delay exceeds `kOverloadDelay`.
   [[nodiscard]] bool IsOverloaded() const { return loop_delay_ > kOverloadDelay; }
   /// Runs a scheduling pass, which places all tasks that fit. Call after inputs; several inputs may
@@ -301,72 +301,72 @@
   job_state* FindJob(std::string_view id);
   /// @return the step of a task; null if it is unknown or its occurrence is not active.
   step_state* FindStep(const task_name& name);
-  void NoteTiming(const job_state& job, bool ended, const instant& now);
-  void OpenDue(job_state& job, const instant& now);
+  void RecordTiming(const job_state& job, bool ended, const instant& now);
+  void OpenDueOccurrences(job_state& job, const instant& now);
   void OpenSteps(job_state& job, occurrence_state& occurrence, const instant& now);
   void FinishTask(step_state& step, std::uint32_t index, const instant& now);
   void FinishStep(step_state& step, const instant& now);
   void FailTask(step_state& step, std::uint32_t index, std::uint32_t run, const std::string& worker,
                 const instant& now);
   void EndJob(job_state& job, job_phase phase, const instant& now);
-  void Forget(const instant& now);
+  void ForgetEndedJobs(const instant& now);
   void ResolveRules(job_state& job) const;
-  void RetireEnded(const instant& now);
+  void RetireEndedJobs(const instant& now);
   void FinishOccurrence(job_state& job, occurrence_state& occurrence, const instant& now);
   [[nodiscard]] submit_answer Admit(const job_spec& job, const instant& now);
   /// @return how long a job would wait for the leader's event loop, in ms.
-  [[nodiscard]] double WaitsForLeaderMs(const job_spec& job) const;
+  [[nodiscard]] double EstimateLeaderDelayMs(const job_spec& job) const;
   [[nodiscard]] pool_load MeasureLoad(const std::string& pool) const;
   /// @return the load of a pool from a recent measurement.
-  [[nodiscard]] const pool_load& LoadOf(const std::string& pool, const instant& now);
+  [[nodiscard]] const pool_load& RecentLoad(const std::string& pool, const instant& now);
   [[nodiscard]] double MeanSlackMs(const job_spec& job);
   [[nodiscard]] bool FitsSomewhere(const job_spec& job) const;
   /// @return whether there is room for all tasks of a job's first step now.
-  [[nodiscard]] bool HasPlaces(const job_spec& job) const;
+  [[nodiscard]] bool HasRoomForFirstStep(const job_spec& job) const;
   void MarkDirty(job_state& job, bool urgent);
 
   // scheduler_store.cc
-  void DropNewJob(const std::string& id, std::string_view reason);
+  void RefuseNewJob(const std::string& id, std::string_view reason);
   void RestoreJob(const std::string& id, const std::string& job_text,
                   const std::string& progress_text, const instant& now);
-  void AckWhatNeedsNoRecord();
+  void AckEndsWithoutRecords();
   [[nodiscard]] std::string EncodeWorkers(std::vector<std::string>& open) const;
   void HoldTasks(worker_state& worker);
   void ReleaseTasks(worker_state& worker);
   void SetNotBefore(const std::string& task, time_point not_before);
 
   // scheduler_runs.cc
-  /// Adds a run to the counts and lists of its job, step and worker; `Detach` removes it.
-  live_run& Attach(step_state& step, std::uint32_t index, worker_state& worker,
-                   std::uint32_t number, const instant& now);
+  /// Adds a run to the counts and lists of its job, step and worker; `DetachRun` removes it.
+  live_run& AttachRun(step_state& step, std::uint32_t index, worker_state& worker,
+                      std::uint32_t number, const instant& now);
   live_run& BeginRun(step_state& step, std::uint32_t index, worker_state& worker,
                      std::uint32_t number, std::string checkpoint, std::string ticket,
                      const instant& now);
   void OrderStart(live_run& run, const instant& now);
   void OrderStop(live_run& run, const instant& now);
-  void TellRepeated(const live_run& run, std::string_view order);
+  void LogRepeatedOrder(const live_run& run, std::string_view order);
   live_run* FindRun(const std::string& worker, const std::string& task, std::uint32_t run);
   /// @param for_step  for a preemption: the step that needs the room.
   void StopRun(live_run& run, stop_reason reason, const instant& now,
                const step_state* for_step = nullptr);
   void EndRun(live_run& run, end_kind how, const std::string& checkpoint, const instant& now);
-  void Detach(live_run& run);
+  void DetachRun(live_run& run);
   void ApplyEnd(step_state& step, std::uint32_t index, std::uint32_t run, end_kind how,
                 const std::string& worker, const std::string& checkpoint, const instant& now);
   void ApplyGangEnd(step_state& step, std::uint32_t run, end_kind how, const std::string& worker,
                     const std::string& checkpoint, const instant& now);
-  void Adopt(worker_state& worker, const running_row& row, const instant& now);
-  void TakeEnd(worker_state& worker, const ended_row& row, const instant& now);
-  void LookForMissing(worker_state& worker, time_point sent_at, const worker_report& report,
+  void AdoptRun(worker_state& worker, const running_row& row, const instant& now);
+  void HandleEnd(worker_state& worker, const ended_row& row, const instant& now);
+  void EndMissingRuns(worker_state& worker, time_point sent_at, const worker_report& report,
                       const instant& now);
-  void BreakGang(step_state& step, const instant& now);
-  void StopStranger(worker_state& worker, const running_row& row, const instant& now);
-  void RefuseStart(live_run& run, start_outcome outcome, const instant& now);
-  void LoseRuns(worker_state& worker, std::string_view cause, const instant& now);
+  void StopGang(step_state& step, const instant& now);
+  void StopUnknownRun(worker_state& worker, const running_row& row, const instant& now);
+  void HandleRefusedStart(live_run& run, start_outcome outcome, const instant& now);
+  void EndRunsAsLost(worker_state& worker, std::string_view cause, const instant& now);
   void RetryOrders(worker_state& worker, const instant& now);
   void StopStuckRuns(worker_state& worker, const instant& now);
-  void EmptyLeavingWorker(worker_state& worker, const instant& now);
-  void PaceLeftovers(worker_state& worker);
+  void StopRunsOnDrainingWorker(worker_state& worker, const instant& now);
+  void ThrottleLeftoverRuns(worker_state& worker);
   void DropWorker(const std::string& id);
   void SettleWorker(const std::string& id, std::string_view how, const instant& now);
   [[nodiscard]] duration LongestLease() const;
@@ -478,8 +478,8 @@
   void StartGang(step_state& step, const std::vector<worker_state*>& places, const instant& now);
 
   // scheduler_views.cc
-  [[nodiscard]] wait_view WhyWaiting(const step_state& step, const instant& now) const;
-  void TellWaiting(step_state& step, const instant& now);
+  [[nodiscard]] wait_view DiagnoseWait(const step_state& step, const instant& now) const;
+  void LogWaitingStep(step_state& step, const instant& now);
 
   /// A leader whose event loop is delayed by more than this sheds load: it watches workers less
   /// often, handles more inputs per pass, doesn't judge workers by times that include its own
--- a/src/rosearch/sched/scheduler_jobs.cc
+++ b/src/rosearch/sched/scheduler_jobs.cc
@@ -62,7 +62,7 @@
   return step != nullptr && name.index < step->tasks.size() ? step : nullptr;
 }
 
-void scheduler::NoteTiming(const job_state& job, bool ended, const instant& now) {
+void scheduler::RecordTiming(const job_state& job, bool ended, const instant& now) {
   // The duration of recurring jobs and services is set by their callers, so it says nothing about
   // the cell's performance.
   if (job.spec->occurrences == 0 && !job.spec->steps.front().service) {
@@ -148,7 +148,7 @@
   return mean;
 }
 
-bool scheduler::HasPlaces(const job_spec& job) const {
+bool scheduler::HasRoomForFirstStep(const job_spec& job) const {
   const auto& step = job.steps.front();
   const double reserved_share = job.priority == 0 ? 0.0 : Reserve(job.pool);
   std::int64_t fitting = 0;
@@ -201,7 +201,7 @@
   return load;
 }
 
-const pool_load& scheduler::LoadOf(const std::string& pool, const instant& now) {
+const pool_load& scheduler::RecentLoad(const std::string& pool, const instant& now) {
   auto& known = loads_[pool];
   if (now.steady >= known.measure_again_at) {
     known = MeasureLoad(pool);
@@ -213,7 +213,7 @@
 
 // Lets admission refuse jobs while the leader itself is the bottleneck, for example on a machine
 // that became slow. Without it, new jobs would also delay all jobs accepted before them.
-double scheduler::WaitsForLeaderMs(const job_spec& job) const {
+double scheduler::EstimateLeaderDelayMs(const job_spec& job) const {
   const auto delay = std::chrono::duration<double, std::milli>{loop_delay_}.count();
   return delay * settings_.loop_waits_per_step * static_cast<double>(job.steps.size());
 }
@@ -224,10 +224,10 @@
 submit_answer scheduler::Admit(const job_spec& job, const instant& now) {
   // Estimates of a single job are wrong by half or more; their mean over the queue is not.
   const double slack = MeanSlackMs(job) * settings_.admission_slack;
-  if (WaitsForLeaderMs(job) > slack || admitted_since_tick_ >= admission_limit_) {
+  if (EstimateLeaderDelayMs(job) > slack || admitted_since_tick_ >= admission_limit_) {
     return {submit_verdict::kRefused, kMinRetryAfter, "leader_busy"};
   }
-  const auto& load = LoadOf(job.pool, now);
+  const auto& load = RecentLoad(job.pool, now);
   double room = load.capacity - load.services;  // processors that jobs of this priority may use
   for (const auto& [priority, charged] : load.running) {
     room -= priority < job.priority ? charged : 0;
@@ -238,7 +238,7 @@
   }
   const double wait = room > 0 ? ahead / room : 0;
   const bool has_room = load.free > room * (Reserve(job.pool) + kFreeShareMargin);
-  if (room <= 0 || wait <= slack || (has_room && HasPlaces(job))) {
+  if (room <= 0 || wait <= slack || (has_room && HasRoomForFirstStep(job))) {
     return {submit_verdict::kPending, {}, {}};
   }
   const auto retry_after = std::chrono::milliseconds{static_cast<std::int64_t>(wait - slack)};
@@ -319,7 +319,7 @@
   return IsTerminal(job.phase) ? job_phase::kRunning : job.phase;
 }
 
-std::size_t scheduler::Waiting(std::string_view queue) const {
+std::size_t scheduler::CountWaitingJobs(std::string_view queue) const {
   std::size_t waiting = 0;
   for (const auto& [id, job] : jobs_) {
     waiting += job->phase == job_phase::kQueued && job->accepted && job->spec->queue == queue;
@@ -327,7 +327,7 @@
   return waiting;
 }
 
-void scheduler::OpenDue(job_state& job, const instant& now) {
+void scheduler::OpenDueOccurrences(job_state& job, const instant& now) {
   const auto margin = std::chrono::duration_cast<std::chrono::milliseconds>(settings_.due_margin);
   while (job.occurrences.size() < job.Occurrences()) {
     const auto number = static_cast<std::int64_t>(job.occurrences.size());
@@ -434,7 +434,7 @@
   }
   job.phase = phase;
   job.ended_ms = now.wall_ms;
-  NoteTiming(job, true, now);
+  RecordTiming(job, true, now);
   MarkDirty(job, true);
   log_.Write(event_line{
       "job_ended", phase == job_phase::kFailed ? event_weight::kFailure : event_weight::kRequest}
@@ -461,7 +461,7 @@
   std::erase_if(waiting_steps_, of_job);
 }
 
-void scheduler::RetireEnded(const instant&) {
+void scheduler::RetireEndedJobs(const instant&) {
   const auto candidates = std::exchange(retiring_, {});
   for (const auto& id : candidates) {
     auto* const job = FindJob(id);
@@ -477,7 +477,7 @@
   }
 }
 
-void scheduler::Forget(const instant& now) {
+void scheduler::ForgetEndedJobs(const instant& now) {
   if (now.steady < next_forget_) {
     return;
   }
--- a/src/rosearch/sched/scheduler_placement.cc
+++ b/src/rosearch/sched/scheduler_placement.cc
@@ -278,10 +278,10 @@
   if (deposed_) {
     return;
   }
-  RetireEnded(now);
+  RetireEndedJobs(now);
   for (auto* const step : InOrder(now)) {
     ++placement_attempts_;
-    TellWaiting(*step, now);
+    LogWaitingStep(*step, now);
     if (!Startable(*step)) {
       AskAboutUnseen(*step, now);
       Block(*step, now);
--- a/src/rosearch/sched/scheduler_progress.cc
+++ b/src/rosearch/sched/scheduler_progress.cc
@@ -193,7 +193,7 @@
                  .Add("elsewhere_ms", outlook.elsewhere)
                  .Add("copy", static_cast<int>(step.spec->may_duplicate)));
   if (step.spec->gang) {
-    BreakGang(step, now);
+    StopGang(step, now);
   } else if (step.spec->may_duplicate) {
     run.copied = true;
     step.tasks[run.index].wants_copy = true;
--- a/src/rosearch/sched/scheduler_reports.cc
+++ b/src/rosearch/sched/scheduler_reports.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void scheduler::TakeEnd(worker_state& worker, const ended_row& row, const instant& now) {
+void scheduler::HandleEnd(worker_state& worker, const ended_row& row, const instant& now) {
   if (auto* const run = FindRun(worker.facts.id, row.task, row.run)) {
     EndRun(*run, row.how, row.checkpoint, now);
     return;
@@ -48,7 +48,7 @@
   }
 }
 
-void scheduler::StopStranger(worker_state& worker, const running_row& row, const instant& now) {
+void scheduler::StopUnknownRun(worker_state& worker, const running_row& row, const instant& now) {
   auto new_run = std::make_unique<live_run>();
   new_run->task = row.task;
   new_run->run = row.run;
@@ -60,7 +60,7 @@
   StopRun(run, stop_reason::kStranger, now);
 }
 
-void scheduler::Adopt(worker_state& worker, const running_row& row, const instant& now) {
+void scheduler::AdoptRun(worker_state& worker, const running_row& row, const instant& now) {
   const auto name = task_name::Parse(row.task);
   auto* const job = name ? FindJob(name->job) : nullptr;
   const bool wanted = job != nullptr && !IsTerminal(job->phase);
@@ -71,10 +71,10 @@
   auto* const step = wanted ? FindStep(*name) : nullptr;
   const bool known = step != nullptr && !step->tasks[name->index].done;
   if (!known || (step->tasks[name->index].live > 0 && !step->spec->may_duplicate)) {
-    StopStranger(worker, row, now);
+    StopUnknownRun(worker, row, now);
     return;
   }
-  auto& run = Attach(*step, name->index, worker, row.run, now);
+  auto& run = AttachRun(*step, name->index, worker, row.run, now);
   run.phase = run_phase::kRunning;
   run.checkpoint = row.checkpoint;
   run.percent = row.percent;
@@ -85,7 +85,7 @@
                  .Add("worker", worker.facts.id));
 }
 
-void scheduler::LookForMissing(worker_state& worker, time_point sent_at,
+void scheduler::EndMissingRuns(worker_state& worker, time_point sent_at,
                                const worker_report& report, const instant& now) {
   if (report.ended.size() >= kMaxListedEnds) {
     return;
@@ -132,13 +132,13 @@
     if (row.number > worker.seen_end) {
       worker.seen_end = row.number;
       unacked_.insert(worker_id);
-      TakeEnd(worker, row, now);
+      HandleEnd(worker, row, now);
     }
   }
   for (const auto& row : report.running) {
     const auto known = worker.runs.find(row.task);
     if (known == worker.runs.end()) {
-      Adopt(worker, row, now);
+      AdoptRun(worker, row, now);
       continue;
     }
     auto& run = *known->second;
@@ -162,18 +162,18 @@
     }
     run.load = row.load;
   }
-  LookForMissing(worker, sent_at, report, now);
+  EndMissingRuns(worker, sent_at, report, now);
   ReleaseTasks(worker);
   worker.session = session_phase::kLive;
   worker.silent_watches = 0;
   worker.report_sent_at = sent_at;
   SettleWorker(worker_id, "answered", now);
   RescueSlowRuns(worker, now);
-  PaceLeftovers(worker);
-  AckWhatNeedsNoRecord();
+  ThrottleLeftoverRuns(worker);
+  AckEndsWithoutRecords();
 }
 
-void scheduler::LoseRuns(worker_state& worker, std::string_view cause, const instant& now) {
+void scheduler::EndRunsAsLost(worker_state& worker, std::string_view cause, const instant& now) {
   if (!worker.runs.empty()) {
     log_.Write(event_line{"runs_lost", event_weight::kBelief}
                    .Add("worker", worker.facts.id)
@@ -197,7 +197,7 @@
   }
   auto& worker = *found->second;
   if (failure == watch_failure::kOtherIncarnation) {
-    LoseRuns(worker, "restarted", now);
+    EndRunsAsLost(worker, "restarted", now);
     SettleWorker(worker_id, "restarted", now);
     DropWorker(worker_id);
     return;
@@ -276,14 +276,14 @@
     }
     run->step->tasks[run->index].failed_on = worker.facts.id;
     if (spec.gang) {
-      BreakGang(*run->step, now);
+      StopGang(*run->step, now);
     } else {
       StopRun(*run, stop_reason::kStuck, now);
     }
   }
 }
 
-void scheduler::EmptyLeavingWorker(worker_state& worker, const instant& now) {
+void scheduler::StopRunsOnDrainingWorker(worker_state& worker, const instant& now) {
   if (!worker.facts.draining || worker.session != session_phase::kLive) {
     return;
   }
@@ -300,14 +300,14 @@
       continue;
     }
     if (spec.gang) {
-      BreakGang(*run->step, now);
+      StopGang(*run->step, now);
     } else {
       StopRun(*run, stop_reason::kLeaving, now);
     }
   }
 }
 
-void scheduler::PaceLeftovers(worker_state& worker) {
+void scheduler::ThrottleLeftoverRuns(worker_state& worker) {
   if (worker.leftover_runs == 0 || worker.service_runs == 0) {
     return;
   }
--- a/src/rosearch/sched/scheduler_runs.cc
+++ b/src/rosearch/sched/scheduler_runs.cc
@@ -46,10 +46,10 @@
   return same ? found->second.get() : nullptr;
 }
 
-live_run& scheduler::Attach(step_state& step, std::uint32_t index, worker_state& worker,
-                            std::uint32_t number, const instant& now) {
+live_run& scheduler::AttachRun(step_state& step, std::uint32_t index, worker_state& worker,
+                               std::uint32_t number, const instant& now) {
   if (step.job->phase == job_phase::kQueued) {
-    NoteTiming(*step.job, false, now);
+    RecordTiming(*step.job, false, now);
   }
   auto new_run = std::make_unique<live_run>();
   new_run->task = step.Name() + '.' + std::to_string(index);
@@ -90,7 +90,7 @@
   orders_.emplace_back(stop_order{facts.id, facts.address, run.task, run.run});
 }
 
-void scheduler::TellRepeated(const live_run& run, std::string_view order) {
+void scheduler::LogRepeatedOrder(const live_run& run, std::string_view order) {
   log_.Write(event_line{"order_repeated", event_weight::kFailure}
                  .Add("task", run.task)
                  .Add("run", run.run)
@@ -103,7 +103,7 @@
                               std::uint32_t number, std::string checkpoint, std::string ticket,
                               const instant& now) {
   auto& task = step.tasks[index];
-  auto& run = Attach(step, index, worker, number, now);
+  auto& run = AttachRun(step, index, worker, number, now);
   run.ticket = std::move(ticket);
   run.checkpoint = std::move(checkpoint);
   if (run.checkpoint.empty()) {
@@ -141,7 +141,7 @@
                  .Add("percent", run.percent));
 }
 
-void scheduler::Detach(live_run& run) {
+void scheduler::DetachRun(live_run& run) {
   auto& worker = *run.worker;
   worker.used = worker.used - run.charged;
   fill_.Update(worker);
@@ -194,7 +194,7 @@
   if (step != nullptr && step->spec->service && took > kMinServiceUptime) {
     step->tasks[index].consecutive_early_ends = 0;
   }
-  Detach(run);
+  DetachRun(run);
   if (step == nullptr) {
     return;
   }
@@ -247,10 +247,10 @@
   if (how == end_kind::kFailed) {
     FailTask(step, 0, run, worker, now);
   }
-  BreakGang(step, now);
+  StopGang(step, now);
 }
 
-void scheduler::BreakGang(step_state& step, const instant& now) {
+void scheduler::StopGang(step_state& step, const instant& now) {
   if (step.runs.empty() || step.stopping_gang) {
     return;
   }
@@ -297,10 +297,10 @@
     run->retry_at = now.steady;
     return;
   }
-  RefuseStart(*run, outcome, now);
+  HandleRefusedStart(*run, outcome, now);
 }
 
-void scheduler::RefuseStart(live_run& run, start_outcome outcome, const instant& now) {
+void scheduler::HandleRefusedStart(live_run& run, start_outcome outcome, const instant& now) {
   auto& worker = *run.worker;
   if (outcome == start_outcome::kUnhealthy) {
     worker.health.RecordFailure(settings_, now.steady);
@@ -321,9 +321,9 @@
     return;
   }
   auto* const step = run.step;
-  Detach(run);
+  DetachRun(run);
   if (step->spec->gang) {
-    BreakGang(*step, now);
+    StopGang(*step, now);
   }
 }
 
@@ -349,14 +349,14 @@
     }
     if (run->phase == run_phase::kStopping && !run->stop_acknowledged) {
       OrderStop(*run, now);
-      TellRepeated(*run, "stop");
+      LogRepeatedOrder(*run, "stop");
     } else if (run->phase == run_phase::kUnsure && run->tries >= settings_.max_start_attempts) {
       StopRun(*run, stop_reason::kUnanswered, now);
     } else if (run->phase == run_phase::kUnsure) {
       ++run->tries;
       run->phase = run_phase::kStarting;
       OrderStart(*run, now);
-      TellRepeated(*run, "start");
+      LogRepeatedOrder(*run, "start");
     }
   }
 }
--- a/src/rosearch/sched/scheduler_store.cc
+++ b/src/rosearch/sched/scheduler_store.cc
@@ -94,7 +94,7 @@
       OpenSteps(restored_job, *occurrence, now);
     }
   }
-  OpenDue(restored_job, now);
+  OpenDueOccurrences(restored_job, now);
 }
 
 void scheduler::FinishRestore(const instant& now) {
@@ -175,7 +175,7 @@
       settled_.push_back({id, true, false});
       log_.Write(event_line{"job_accepted"}.Add("job", id).Add("batch", number));
       if (!IsTerminal(job->phase)) {
-        OpenDue(*job, now);
+        OpenDueOccurrences(*job, now);
       }
     }
   }
@@ -206,8 +206,8 @@
       RecordFreedRoom(*found->second);
     }
   }
-  RetireEnded(now);
-  AckWhatNeedsNoRecord();
+  RetireEndedJobs(now);
+  AckEndsWithoutRecords();
 }
 
 void scheduler::OnNotStored(std::uint64_t number) {
@@ -217,7 +217,7 @@
   }
   const auto& effects = node.mapped();
   for (const auto& id : effects.new_jobs) {
-    DropNewJob(id, "store_refused");
+    RefuseNewJob(id, "store_refused");
   }
   for (const auto& [id, phase] : effects.progress) {
     if (auto* const job = FindJob(id)) {
@@ -228,7 +228,7 @@
   workers_dirty_ = workers_dirty_ || effects.workers;
 }
 
-void scheduler::DropNewJob(const std::string& id, std::string_view reason) {
+void scheduler::RefuseNewJob(const std::string& id, std::string_view reason) {
   if (FindJob(id) == nullptr) {
     return;
   }
@@ -240,12 +240,12 @@
       event_line{"job_refused", event_weight::kFailure}.Add("job", id).Add("reason", reason));
 }
 
-void scheduler::RefuseUnsent() {
+void scheduler::RefuseUnsentJobs() {
   const auto dirty = dirty_;
   for (const auto& id : dirty) {
     const auto* const job = FindJob(id);
     if (job != nullptr && job->new_record) {
-      DropNewJob(id, "store_away");
+      RefuseNewJob(id, "store_away");
     }
   }
 }
@@ -298,7 +298,7 @@
   }
 }
 
-void scheduler::AckWhatNeedsNoRecord() {
+void scheduler::AckEndsWithoutRecords() {
   if (!dirty_.empty() || !storing_.empty()) {
     return;
   }
--- a/src/rosearch/sched/scheduler_views.cc
+++ b/src/rosearch/sched/scheduler_views.cc
@@ -56,7 +56,7 @@
   return counts;
 }
 
-wait_view scheduler::WhyWaiting(const step_state& step, const instant& now) const {
+wait_view scheduler::DiagnoseWait(const step_state& step, const instant& now) const {
   wait_view view;
   view.unsettled = unsettled_.size();
   if (step.Finished()) {
@@ -96,12 +96,12 @@
   return view;
 }
 
-void scheduler::TellWaiting(step_state& step, const instant& now) {
+void scheduler::LogWaitingStep(step_state& step, const instant& now) {
   if (now.steady < step.next_waiting_log_at) {
     return;
   }
   step.next_waiting_log_at = now.steady + kWaitLogInterval;
-  const auto wait = WhyWaiting(step, now);
+  const auto wait = DiagnoseWait(step, now);
   log_.Write(event_line{"step_waits", event_weight::kDetail}
                  .Add("job", step.job->spec->id)
                  .Add("step", step.Name())
@@ -137,7 +137,7 @@
     out << "step " << step->Name() << " idle=" << step->CountIdleTasks() << " done=" << step->done
         << '/' << step->tasks.size() << " asking=" << step->advice.HasPendingQuery(now.steady)
         << " left_ms=" << Millis(step->job->finish_by - now.steady)
-        << " waits_for=" << WhyWaiting(*step, now) << '\n';
+        << " waits_for=" << DiagnoseWait(*step, now) << '\n';
   }
   return out.str();
 }
@@ -164,7 +164,8 @@
   for (const auto& occurrence : job.occurrences) {
     for (const auto& step : occurrence->steps) {
       out << "step " << step->Name() << " done=" << step->done << '/' << step->tasks.size()
-          << " idle=" << step->CountIdleTasks() << " waits_for=" << WhyWaiting(*step, now) << '\n';
+          << " idle=" << step->CountIdleTasks() << " waits_for=" << DiagnoseWait(*step, now)
+          << '\n';
       for (const auto* const run : step->runs) {
         out << "run " << run->task << " run=" << run->run << " worker=" << run->worker->facts.id
             << " phase=" << RunPhaseName(run->phase) << " percent=" << run->percent
--- a/test/rosearch/sched/cell_world.cc
+++ b/test/rosearch/sched/cell_world.cc
@@ -185,7 +185,7 @@
   if (std::exchange(pass_pending_, true)) {
     return;
   }
-  At(std::max(now_, passed_at_ + std::max(kMinPassInterval, leader_->PassPause())), [this] {
+  At(std::max(now_, passed_at_ + std::max(kMinPassInterval, leader_->ExtraPassDelay())), [this] {
     ToLeader([this] {
       pass_pending_ = false;
       passed_at_ = now_;
@@ -516,7 +516,7 @@
   const auto next = [this, id, epoch] {
     if (epoch == epoch_) {
       Pump();
-      After(leader_->WatchPause(id, Now()), [this, id, epoch] { Watch(id, epoch); });
+      After(leader_->WatchDelay(id, Now()), [this, id, epoch] { Watch(id, epoch); });
     }
   };
   if (worker == nullptr || !Reachable(*worker) || epoch < worker->fence) {
--- a/test/rosearch/sched/scheduler_test.cc
+++ b/test/rosearch/sched/scheduler_test.cc
@@ -173,7 +173,7 @@
 TEST_CASE("an unsent job is refused for good when the store is unreachable") {
   scheduler_fixture fixture;
   (void)fixture.Submit("a", 1);
-  fixture.leader.RefuseUnsent();
+  fixture.leader.RefuseUnsentJobs();
   const auto settled = fixture.leader.TakeSettled();
   REQUIRE(settled.size() == 1);
   CHECK_FALSE(settled[0].accepted);
@@ -187,7 +187,7 @@
   scheduler_fixture fixture;
   (void)fixture.Submit("a", 1);
   const auto batch = fixture.leader.TakeBatch();
-  fixture.leader.RefuseUnsent();
+  fixture.leader.RefuseUnsentJobs();
   CHECK(fixture.leader.IsPending("a"));
   CHECK(fixture.leader.TakeSettled().empty());
   fixture.leader.OnStored(batch.number, fixture.now);
