--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -161,7 +161,7 @@
       OpenDueOccurrences(*job, now);
     }
   }
-  ListSteps();
+  RefreshStepLists();
   for (auto* const step : open_steps_) {
     // A gang can't work if only some of its members were found after a leader change.
     if (step->spec->gang && !step->runs.empty() && OldRunsSettled() &&
--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -158,10 +158,10 @@
 };
 
 /// @return whether a step is urgent: it may use the room reserved for bursts, and is spread out.
-[[nodiscard]] bool Urgent(const step_state& step);
+[[nodiscard]] bool IsUrgent(const step_state& step);
 
 /// @return the free processors that a task of a step requires, in thousandths.
-[[nodiscard]] std::int64_t ProcessorsWanted(const step_state& step);
+[[nodiscard]] std::int64_t RequiredProcessorsMilli(const step_state& step);
 
 /// Schedules all tasks of the cell: receives events from callers, workers, the advice service and
 /// the store, and produces orders and records. It reads no clock and does no I/O, so that a load
@@ -376,23 +376,24 @@
   // scheduler_progress.cc
   /// @return the typical run time of a step's tasks, from ended runs and from active runs on
   /// workers
-  ///         other than `beside`; nothing if there are too few samples.
-  [[nodiscard]] std::optional<duration> TypicalTime(const step_state& step,
-                                                    const worker_state& beside) const;
+  ///         other than `excluded_worker`; nothing if there are too few samples.
+  [[nodiscard]] std::optional<duration> TypicalRunTime(const step_state& step,
+                                                       const worker_state& excluded_worker) const;
   /// @return the remaining time of a run at its current speed, and its slowdown.
-  [[nodiscard]] std::optional<run_outlook> Outlook(const live_run& run, const instant& now) const;
-  void NoteSpeed(const live_run& run, duration took);
+  [[nodiscard]] std::optional<run_outlook> EstimateOutlook(const live_run& run,
+                                                           const instant& now) const;
+  void RecordRunSpeed(const live_run& run, duration took);
   void RescueSlowRuns(worker_state& worker, const instant& now);
-  void Rescue(live_run& run, const run_outlook& outlook, const instant& now);
-  [[nodiscard]] bool MayRescue() const;
+  void RescueRun(live_run& run, const run_outlook& outlook, const instant& now);
+  [[nodiscard]] bool MayRescueRun() const;
 
   // scheduler_placement.cc
-  [[nodiscard]] bool Startable(const step_state& step) const;
+  [[nodiscard]] bool IsStartable(const step_state& step) const;
   /// @return whether a step that found no room would fail again, since no room was freed on workers
   ///         that it may run on.
   [[nodiscard]] bool StillBlocked(const step_state& step, const instant& now) const;
   /// Records that a step found no room.
-  void Block(step_state& step, const instant& now) const;
+  void MarkBlocked(step_state& step, const instant& now) const;
   /// Records that room was freed at a worker.
   void RecordFreedRoom(worker_state& worker) { worker.room_version = ++room_version_; }
   /// Records that any step may find room now.
@@ -405,29 +406,29 @@
     }
   }
   /// Rebuilds the lists of open and waiting steps.
-  void ListSteps();
+  void RefreshStepLists();
   /// Removes the steps of a job from all lists.
   void DropSteps(const job_state& job);
   /// @return the open steps that may find room now, in scheduling order.
-  [[nodiscard]] std::vector<step_state*> InOrder(const instant& now);
-  [[nodiscard]] bool MayRunUnseen(const step_state& step) const;
+  [[nodiscard]] std::vector<step_state*> StepsInPlacementOrder(const instant& now);
+  [[nodiscard]] bool MayRunOnUnsettledWorker(const step_state& step) const;
   void PlaceTasks(step_state& step, const instant& now);
-  [[nodiscard]] bool MayRun(const step_state& step, const task_state* task,
-                            const worker_state& worker, const instant& now) const;
+  [[nodiscard]] bool IsEligible(const step_state& step, const task_state* task,
+                                const worker_state& worker, const instant& now) const;
   /// @return the share of each worker of a pool that is reserved for urgent work. Zero if no queue
   ///         of the pool is urgent: a reserve would then only waste room, such as every second
   ///         place for tasks that need half of a worker's processors.
-  [[nodiscard]] double Reserve(const std::string& pool) const;
+  [[nodiscard]] double UrgentReserveShare(const std::string& pool) const;
   /// @return whether all workers are considered for a step, because its pool is small or the best
   ///         placement depends on more than processor utilization.
-  [[nodiscard]] bool LooksAtAll(const step_state& step);
+  [[nodiscard]] bool ScansAllWorkers(const step_state& step);
   [[nodiscard]] bool Fits(const step_state& step, const worker_state& worker) const;
   [[nodiscard]] double Score(const step_state& step, const worker_state& worker) const;
-  worker_state* Pick(const step_state& step, const task_state& task, bool advised,
-                     const instant& now);
-  void MakeRoom(step_state& step, std::uint32_t tasks, const instant& now);
-  bool MakeRoomAt(step_state& step, worker_state& worker, const instant& now);
-  [[nodiscard]] std::uint32_t Copies(const step_state& step, const worker_state& worker) const;
+  worker_state* PickWorker(const step_state& step, const task_state& task, bool advised,
+                           const instant& now);
+  void PreemptForStep(step_state& step, std::uint32_t tasks, const instant& now);
+  bool PreemptOnWorker(step_state& step, worker_state& worker, const instant& now);
+  [[nodiscard]] std::uint32_t CountRunsOn(const step_state& step, const worker_state& worker) const;
 
   // scheduler_advice.cc
   /// Workers that an advice query may name; each list has the best first.
@@ -437,19 +438,20 @@
     std::vector<worker_state*> full;     ///< without room; no advice about them yet
   };
   /// @return the best workers for a step, best first, at most as many as one query may name.
-  [[nodiscard]] std::vector<worker_state*> BestFirst(
+  [[nodiscard]] std::vector<worker_state*> SelectBestWorkers(
       const step_state& step, const std::vector<worker_state*>& workers) const;
-  [[nodiscard]] advice_candidates WhomToAskAbout(const step_state& step, const instant& now);
+  [[nodiscard]] advice_candidates FindAdviceCandidates(const step_state& step, const instant& now);
   /// @return the workers to name in a query that should allow `tasks` tasks of a step to start.
-  [[nodiscard]] std::vector<std::string> WhomToName(const step_state& step, std::uint32_t tasks,
-                                                    const instant& now);
-  [[nodiscard]] std::vector<std::string> UnseenToAskAbout(const step_state& step) const;
-  void AskAboutUnseen(step_state& step, const instant& now);
-  void AskAdvice(step_state& step, std::uint32_t tasks, const instant& now);
+  [[nodiscard]] std::vector<std::string> ChooseWorkersToQuery(const step_state& step,
+                                                              std::uint32_t tasks,
+                                                              const instant& now);
+  [[nodiscard]] std::vector<std::string> UnsettledWorkersToQuery(const step_state& step) const;
+  void QueryUnsettledWorkers(step_state& step, const instant& now);
+  void RequestAdvice(step_state& step, std::uint32_t tasks, const instant& now);
   /// @return whether a query for a step may be sent now; gives up an overdue one.
-  [[nodiscard]] bool MayAsk(step_state& step, const instant& now);
-  void SendQuestion(step_state& step, std::vector<std::string> workers, std::uint32_t tasks,
-                    const instant& now);
+  [[nodiscard]] bool MayRequestAdvice(step_state& step, const instant& now);
+  void SendAdviceQuery(step_state& step, std::vector<std::string> workers, std::uint32_t tasks,
+                       const instant& now);
 
   // scheduler_reservations.cc
   /// Reserves workers for tasks of a step that has waited long, and preempts runs there if
@@ -458,23 +460,23 @@
   void ReleaseReservations(step_state& step);
   /// @return workers that the step may run on and that no other step has reserved, earliest free
   ///         first.
-  [[nodiscard]] std::vector<worker_state*> Reservable(const step_state& step,
-                                                      const instant& now) const;
+  [[nodiscard]] std::vector<worker_state*> ReservableWorkers(const step_state& step,
+                                                             const instant& now) const;
   /// @return the estimated time until a worker has room for a task of a step.
-  [[nodiscard]] duration UntilRoom(const step_state& step, const worker_state& worker,
-                                   const instant& now) const;
+  [[nodiscard]] duration TimeUntilRoom(const step_state& step, const worker_state& worker,
+                                       const instant& now) const;
   /// @return whether a worker reserved for a step will have room before an advice query is
   ///         answered.
-  [[nodiscard]] bool SoonFree(const step_state& step, const worker_state& worker,
-                              const instant& now) const;
+  [[nodiscard]] bool HasRoomSoon(const step_state& step, const worker_state& worker,
+                                 const instant& now) const;
   [[nodiscard]] bool MayPreempt(const step_state& step, const live_run& run) const;
 
   // scheduler_gangs.cc
   void PlaceGang(step_state& step, const instant& now);
   /// @return a worker for each member; empty if not all members can be placed.
-  [[nodiscard]] std::vector<worker_state*> GangPlaces(
+  [[nodiscard]] std::vector<worker_state*> AssignGangWorkers(
       const step_state& step, const std::vector<worker_state*>& candidates) const;
-  void AskGangAdvice(step_state& step, const instant& now);
+  void RequestGangAdvice(step_state& step, const instant& now);
   void StartGang(step_state& step, const std::vector<worker_state*>& places, const instant& now);
 
   // scheduler_views.cc
--- a/src/rosearch/sched/scheduler_advice.cc
+++ b/src/rosearch/sched/scheduler_advice.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::vector<std::string> scheduler::UnseenToAskAbout(const step_state& step) const {
+std::vector<std::string> scheduler::UnsettledWorkersToQuery(const step_state& step) const {
   std::vector<std::string> unsettled;
   if (!step.job->restored || unsettled_.size() > kMaxUnreachableWorkers) {
     return unsettled;
@@ -45,14 +45,14 @@
 // worker was told to run, so every restored task would wait 8 s until the worker's lease has
 // lapsed. Since advice refuses a given step on two workers in three, a query often shows that the
 // step doesn't have to wait for this one.
-void scheduler::AskAboutUnseen(step_state& step, const instant& now) {
-  if (step.job->accepted && step.job->advice && !UnseenToAskAbout(step).empty()) {
-    AskAdvice(step, step.CountIdleTasks(), now);
+void scheduler::QueryUnsettledWorkers(step_state& step, const instant& now) {
+  if (step.job->accepted && step.job->advice && !UnsettledWorkersToQuery(step).empty()) {
+    RequestAdvice(step, step.CountIdleTasks(), now);
   }
 }
 
-std::vector<worker_state*> scheduler::BestFirst(const step_state& step,
-                                                const std::vector<worker_state*>& workers) const {
+std::vector<worker_state*> scheduler::SelectBestWorkers(
+    const step_state& step, const std::vector<worker_state*>& workers) const {
   // Each score is computed once, since it costs more than a comparison and a pool has hundreds of
   // workers. Workers with equal scores keep their order.
   std::vector<std::pair<double, std::size_t>> scored;
@@ -70,16 +70,17 @@
   return best;
 }
 
-scheduler::advice_candidates scheduler::WhomToAskAbout(const step_state& step, const instant& now) {
+scheduler::advice_candidates scheduler::FindAdviceCandidates(const step_state& step,
+                                                             const instant& now) {
   const auto min_expiry = now.steady + settings_.ticket_margin;
   advice_candidates found;
   const auto consider = [&](worker_state& worker) {
     ++workers_considered_;
-    if (step.advice.Refused(worker.facts.id) || !MayRun(step, nullptr, worker, now)) {
+    if (step.advice.Refused(worker.facts.id) || !IsEligible(step, nullptr, worker, now)) {
       return;
     }
     const auto* const allowance = step.advice.Find(&worker);
-    const bool room = Fits(step, worker) || SoonFree(step, worker, now);
+    const bool room = Fits(step, worker) || HasRoomSoon(step, worker, now);
     if (allowance == nullptr && room) {
       found.unknown.push_back(&worker);
     } else if (allowance == nullptr && step.spec->need.FitsIn(worker.facts.capacity)) {
@@ -88,17 +89,17 @@
       found.allowed.push_back(&worker);
     }
   };
-  if (LooksAtAll(step)) {
+  if (ScansAllWorkers(step)) {
     for (const auto& [id, worker] : workers_) {
       consider(*worker);
     }
   } else {
     const auto& pool = step.job->pool;
-    const auto wanted = ProcessorsWanted(step);
+    const auto wanted = RequiredProcessorsMilli(step);
     const auto enough = [&] {
       return found.allowed.size() + found.unknown.size() >= kMaxConsideredWorkers;
     };
-    fill_.VisitOpen(pool, wanted, Urgent(step), [&](worker_state& worker) {
+    fill_.VisitOpen(pool, wanted, IsUrgent(step), [&](worker_state& worker) {
       consider(worker);
       return !enough();
     });
@@ -109,15 +110,15 @@
       });
     }
   }
-  found.allowed = BestFirst(step, found.allowed);
-  found.unknown = BestFirst(step, found.unknown);
+  found.allowed = SelectBestWorkers(step, found.allowed);
+  found.unknown = SelectBestWorkers(step, found.unknown);
   return found;
 }
 
-std::vector<std::string> scheduler::WhomToName(const step_state& step, std::uint32_t tasks,
-                                               const instant& now) {
-  const auto found = WhomToAskAbout(step, now);
-  auto names = UnseenToAskAbout(step);
+std::vector<std::string> scheduler::ChooseWorkersToQuery(const step_state& step,
+                                                         std::uint32_t tasks, const instant& now) {
+  const auto found = FindAdviceCandidates(step, now);
+  auto names = UnsettledWorkersToQuery(step);
   const double wanted = kNamesPerTask * tasks;
   double expected = 0;
   const auto add_names = [&](const std::vector<worker_state*>& workers, double allowed_share) {
@@ -150,20 +151,20 @@
   return names;
 }
 
-void scheduler::AskAdvice(step_state& step, std::uint32_t tasks, const instant& now) {
-  if (!MayAsk(step, now)) {
+void scheduler::RequestAdvice(step_state& step, std::uint32_t tasks, const instant& now) {
+  if (!MayRequestAdvice(step, now)) {
     return;
   }
-  auto names = WhomToName(step, tasks, now);
+  auto names = ChooseWorkersToQuery(step, tasks, now);
   if (names.empty()) {
     step.advice.next_query_at = now.steady + settings_.ticket_margin;
     return;
   }
-  SendQuestion(step, std::move(names), tasks, now);
+  SendAdviceQuery(step, std::move(names), tasks, now);
 }
 
-void scheduler::SendQuestion(step_state& step, std::vector<std::string> workers,
-                             std::uint32_t tasks, const instant& now) {
+void scheduler::SendAdviceQuery(step_state& step, std::vector<std::string> workers,
+                                std::uint32_t tasks, const instant& now) {
   advice_query query{step.Name(), std::move(workers), *step.job->advice, step.job->priority};
   step.advice.RecordQuery(now.steady, now.steady + QueryCost(query) + settings_.advice_timeout);
   log_.Write(event_line{"advice_asked", event_weight::kDetail}
@@ -177,7 +178,7 @@
 // The answer to a query can be lost on its way, or with the process that sent the query. Without
 // giving up an overdue query, its step would wait for advice forever even with room for all its
 // tasks.
-bool scheduler::MayAsk(step_state& step, const instant& now) {
+bool scheduler::MayRequestAdvice(step_state& step, const instant& now) {
   if (step.advice.HasPendingQuery(now.steady) || now.steady < step.advice.next_query_at) {
     return false;
   }
--- a/src/rosearch/sched/scheduler_gangs.cc
+++ b/src/rosearch/sched/scheduler_gangs.cc
@@ -10,7 +10,7 @@
 
 namespace rosearch::sched {
 
-std::vector<worker_state*> scheduler::GangPlaces(
+std::vector<worker_state*> scheduler::AssignGangWorkers(
     const step_state& step, const std::vector<worker_state*>& candidates) const {
   const auto& spec = *step.spec;
   // Members are assigned tentatively, without changing the workers, since all have to find room.
@@ -73,18 +73,18 @@
     }
   }
   std::erase_if(candidates,
-                [&](const auto* worker) { return !MayRun(step, nullptr, *worker, now); });
-  const auto places = GangPlaces(step, candidates);
+                [&](const auto* worker) { return !IsEligible(step, nullptr, *worker, now); });
+  const auto places = AssignGangWorkers(step, candidates);
   if (!places.empty()) {
     ReleaseReservations(step);
     StartGang(step, places, now);
     return;
   }
   if (advised) {
-    AskGangAdvice(step, now);
+    RequestGangAdvice(step, now);
   }
   ReserveWorkers(step, static_cast<std::uint32_t>(step.tasks.size()), now);
-  Block(step, now);
+  MarkBlocked(step, now);
 }
 
 void scheduler::StartGang(step_state& step, const std::vector<worker_state*>& places,
@@ -102,14 +102,14 @@
 // Sends a query only if its answer lets the gang start or covers workers without a known answer.
 // When a query was sent as soon as any member had room, four queries in five were useless, and
 // queries of other steps waited for 6 s on average, one in twenty for 23 s.
-void scheduler::AskGangAdvice(step_state& step, const instant& now) {
-  if (!MayAsk(step, now)) {
+void scheduler::RequestGangAdvice(step_state& step, const instant& now) {
+  if (!MayRequestAdvice(step, now)) {
     return;
   }
   std::vector<worker_state*> allowed;
   std::vector<worker_state*> unknown;
   for (const auto& [id, worker] : workers_) {
-    if (step.advice.Refused(id) || !MayRun(step, nullptr, *worker, now)) {
+    if (step.advice.Refused(id) || !IsEligible(step, nullptr, *worker, now)) {
       continue;
     }
     if (step.advice.Find(worker.get()) != nullptr) {
@@ -118,7 +118,7 @@
       unknown.push_back(worker.get());
     }
   }
-  auto named = GangPlaces(step, allowed);
+  auto named = AssignGangWorkers(step, allowed);
   std::ranges::sort(named);
   named.erase(std::unique(named.begin(), named.end()), named.end());
   if (named.empty()) {
@@ -136,7 +136,7 @@
     names.push_back(worker->facts.id);
   }
   if (!names.empty()) {
-    SendQuestion(step, std::move(names), static_cast<std::uint32_t>(step.tasks.size()), now);
+    SendAdviceQuery(step, std::move(names), static_cast<std::uint32_t>(step.tasks.size()), now);
   }
 }
 
--- a/src/rosearch/sched/scheduler_jobs.cc
+++ b/src/rosearch/sched/scheduler_jobs.cc
@@ -150,7 +150,7 @@
 
 bool scheduler::HasRoomForFirstStep(const job_spec& job) const {
   const auto& step = job.steps.front();
-  const double reserved_share = job.priority == 0 ? 0.0 : Reserve(job.pool);
+  const double reserved_share = job.priority == 0 ? 0.0 : UrgentReserveShare(job.pool);
   std::int64_t fitting = 0;
   for (const auto& [id, worker] : workers_) {
     const auto& facts = worker->facts;
@@ -237,7 +237,7 @@
     ahead += priority <= job.priority ? work : 0;
   }
   const double wait = room > 0 ? ahead / room : 0;
-  const bool has_room = load.free > room * (Reserve(job.pool) + kFreeShareMargin);
+  const bool has_room = load.free > room * (UrgentReserveShare(job.pool) + kFreeShareMargin);
   if (room <= 0 || wait <= slack || (has_room && HasRoomForFirstStep(job))) {
     return {submit_verdict::kPending, {}, {}};
   }
--- a/src/rosearch/sched/scheduler_placement.cc
+++ b/src/rosearch/sched/scheduler_placement.cc
@@ -53,28 +53,28 @@
 
 }  // namespace
 
-bool Urgent(const step_state& step) { return step.job->priority == 0 || step.spec->service; }
+bool IsUrgent(const step_state& step) { return step.job->priority == 0 || step.spec->service; }
 
-std::int64_t ProcessorsWanted(const step_state& step) {
+std::int64_t RequiredProcessorsMilli(const step_state& step) {
   const auto wanted = step.spec->need.processors_milli;
   return step.spec->uses_leftover ? (wanted + 1) / 2 : wanted;
 }
 
-bool scheduler::LooksAtAll(const step_state& step) {
+bool scheduler::ScansAllWorkers(const step_state& step) {
   const auto& spec = *step.spec;
   return workers_.size() <= kMaxFullScanWorkers || step.reserves_room || spec.same_rack ||
          !spec.data_rack.empty() || fill_.Size(step.job->pool) <= kMaxFullScanWorkers;
 }
 
-bool scheduler::Startable(const step_state& step) const {
+bool scheduler::IsStartable(const step_state& step) const {
   const auto& job = *step.job;
   if (!job.accepted || IsTerminal(job.phase)) {
     return false;
   }
-  return !job.restored || !MayRunUnseen(step);
+  return !job.restored || !MayRunOnUnsettledWorker(step);
 }
 
-bool scheduler::MayRunUnseen(const step_state& step) const {
+bool scheduler::MayRunOnUnsettledWorker(const step_state& step) const {
   // A run started by the former leader may still be active on a worker that hasn't answered yet,
   // unless advice rules out that worker for the step.
   return std::ranges::any_of(unsettled_, [&](const auto& each) {
@@ -82,13 +82,13 @@
   });
 }
 
-std::uint32_t scheduler::Copies(const step_state& step, const worker_state& worker) const {
+std::uint32_t scheduler::CountRunsOn(const step_state& step, const worker_state& worker) const {
   return static_cast<std::uint32_t>(
       std::ranges::count_if(step.runs, [&](const auto* run) { return run->worker == &worker; }));
 }
 
-bool scheduler::MayRun(const step_state& step, const task_state* task, const worker_state& worker,
-                       const instant& now) const {
+bool scheduler::IsEligible(const step_state& step, const task_state* task,
+                           const worker_state& worker, const instant& now) const {
   const auto& facts = worker.facts;
   const auto& spec = *step.spec;
   if (!worker.MayStart() || facts.pool != step.job->pool) {
@@ -98,7 +98,7 @@
       !facts.HasLabel(spec.required_label)) {
     return false;
   }
-  if (spec.per_worker_limit > 0 && Copies(step, worker) >= spec.per_worker_limit) {
+  if (spec.per_worker_limit > 0 && CountRunsOn(step, worker) >= spec.per_worker_limit) {
     return false;
   }
   if (task == nullptr) {
@@ -109,7 +109,7 @@
       step.runs, [&](const auto* run) { return run->worker == &worker && run->index == index; });
 }
 
-double scheduler::Reserve(const std::string& pool) const {
+double scheduler::UrgentReserveShare(const std::string& pool) const {
   const bool reserved = settings_.Uses(mechanism::kReserve) && urgent_pools_.contains(pool);
   return reserved ? settings_.urgent_reserve : 0.0;
 }
@@ -119,17 +119,17 @@
   const auto& need = step.spec->need;
   if (step.spec->uses_leftover) {
     return need.memory_mb <= free.memory_mb && need.accelerators <= free.accelerators &&
-           free.processors_milli >= ProcessorsWanted(step);
+           free.processors_milli >= RequiredProcessorsMilli(step);
   }
   if (!need.FitsIn(free)) {
     return false;
   }
-  if (Urgent(step)) {
+  if (IsUrgent(step)) {
     return true;
   }
   const auto& capacity = worker.facts.capacity;
   const auto reserve_milli = static_cast<std::int64_t>(
-      Reserve(step.job->pool) * static_cast<double>(capacity.processors_milli));
+      UrgentReserveShare(step.job->pool) * static_cast<double>(capacity.processors_milli));
   // A task too large for the unreserved part of this worker may use the reserve as well; otherwise
   // it would never fit.
   const bool needs_reserve = need.processors_milli + reserve_milli > capacity.processors_milli;
@@ -141,7 +141,7 @@
   const double load = LoadWith(worker, spec.need);
   // Long work is packed tightly, so that whole workers stay free for large tasks. Urgent work and
   // services are spread, so that a lost or slow worker affects few of them.
-  const bool spreads = Urgent(step) || !settings_.Uses(mechanism::kPacking);
+  const bool spreads = IsUrgent(step) || !settings_.Uses(mechanism::kPacking);
   double score = spreads ? load : -load;
   if (!spec.data_rack.empty() && spec.data_rack != worker.facts.rack) {
     score += kOffDataRackPenalty;
@@ -153,7 +153,7 @@
     score += (spreads ? kSpreadSlownessWeight : kPackedSlownessWeight) * (worker.slowness - 1.0);
   }
   if (spec.service) {
-    score += kSiblingPenalty * Copies(step, worker);
+    score += kSiblingPenalty * CountRunsOn(step, worker);
     score += worker.leftover_runs > 0 ? kBesideLeftoverPenalty : 0;
   }
   if (spec.uses_leftover && worker.service_runs > 0) {
@@ -167,14 +167,14 @@
   return score;
 }
 
-worker_state* scheduler::Pick(const step_state& step, const task_state& task, bool advised,
-                              const instant& now) {
+worker_state* scheduler::PickWorker(const step_state& step, const task_state& task, bool advised,
+                                    const instant& now) {
   worker_state* best = nullptr;
   double best_score = 0;
   std::size_t eligible = 0;
   const auto consider = [&](worker_state& worker) {
     ++workers_considered_;
-    if (!Fits(step, worker) || !MayRun(step, &task, worker, now)) {
+    if (!Fits(step, worker) || !IsEligible(step, &task, worker, now)) {
       return;
     }
     ++eligible;
@@ -185,17 +185,18 @@
       best_score = score;
     }
   };
-  if (!advised && LooksAtAll(step)) {
+  if (!advised && ScansAllWorkers(step)) {
     for (const auto& [id, worker] : workers_) {
       consider(*worker);
     }
     return best;
   }
   if (!advised) {
-    fill_.VisitOpen(step.job->pool, ProcessorsWanted(step), Urgent(step), [&](worker_state& each) {
-      consider(each);
-      return eligible < kMaxConsideredWorkers;
-    });
+    fill_.VisitOpen(step.job->pool, RequiredProcessorsMilli(step), IsUrgent(step),
+                    [&](worker_state& each) {
+                      consider(each);
+                      return eligible < kMaxConsideredWorkers;
+                    });
     return best;
   }
   const auto min_expiry = now.steady + settings_.ticket_margin;
@@ -214,7 +215,7 @@
   if (step.blocked_room_version < all_room_version_ || now.steady >= step.next_placement_at) {
     return false;
   }
-  if (step.job->restored && !Startable(step)) {
+  if (step.job->restored && !IsStartable(step)) {
     return true;  // freed room doesn't unblock it
   }
   if (!step.job->advice) {
@@ -225,7 +226,7 @@
   });
 }
 
-void scheduler::Block(step_state& step, const instant& now) const {
+void scheduler::MarkBlocked(step_state& step, const instant& now) const {
   step.blocked_room_version = room_version_;
   step.next_placement_at = now.steady + kBlockedRetryInterval;
   if (step.advice.answer_deadline() > now.steady) {
@@ -236,7 +237,7 @@
 // Keeps the steps with idle tasks in a list of their own, which placement passes use. A cell may
 // hold thousands of services, each an open step without idle tasks, so the cost of a pass over all
 // open steps would grow with the running tasks rather than with the waiting ones.
-void scheduler::ListSteps() {
+void scheduler::RefreshStepLists() {
   std::erase_if(open_steps_,
                 [](const auto* step) { return step->Finished() || IsTerminal(step->job->phase); });
   for (auto* const step : open_steps_) {
@@ -246,7 +247,7 @@
   }
 }
 
-std::vector<step_state*> scheduler::InOrder(const instant& now) {
+std::vector<step_state*> scheduler::StepsInPlacementOrder(const instant& now) {
   // Services that lost a task come first, since their users are affected at once. The others are
   // sorted by priority, then by deadline. Jobs that are late by more than twice their objective
   // come last.
@@ -279,12 +280,12 @@
     return;
   }
   RetireEndedJobs(now);
-  for (auto* const step : InOrder(now)) {
+  for (auto* const step : StepsInPlacementOrder(now)) {
     ++placement_attempts_;
     LogWaitingStep(*step, now);
-    if (!Startable(*step)) {
-      AskAboutUnseen(*step, now);
-      Block(*step, now);
+    if (!IsStartable(*step)) {
+      QueryUnsettledWorkers(*step, now);
+      MarkBlocked(*step, now);
     } else if (step->spec->gang) {
       PlaceGang(*step, now);
     } else {
@@ -306,7 +307,7 @@
       backing_off = true;
       continue;
     }
-    auto* const worker = unplaced == 0 ? Pick(step, task, advised, now) : nullptr;
+    auto* const worker = unplaced == 0 ? PickWorker(step, task, advised, now) : nullptr;
     if (worker == nullptr) {
       ++unplaced;
       continue;
@@ -320,19 +321,19 @@
     return;
   }
   if (advised) {
-    AskAdvice(step, unplaced, now);
+    RequestAdvice(step, unplaced, now);
   }
-  if (Urgent(step)) {
-    MakeRoom(step, unplaced, now);
+  if (IsUrgent(step)) {
+    PreemptForStep(step, unplaced, now);
   } else {
     ReserveWorkers(step, unplaced, now);
   }
   if (!backing_off) {
-    Block(step, now);
+    MarkBlocked(step, now);
   }
 }
 
-void scheduler::MakeRoom(step_state& step, std::uint32_t tasks, const instant& now) {
+void scheduler::PreemptForStep(step_state& step, std::uint32_t tasks, const instant& now) {
   if (!settings_.Uses(mechanism::kPreemption)) {
     return;
   }
@@ -350,14 +351,14 @@
     if (tasks == 0) {
       return;
     }
-    if (!Fits(step, *worker) && MayRun(step, nullptr, *worker, now) &&
-        MakeRoomAt(step, *worker, now)) {
+    if (!Fits(step, *worker) && IsEligible(step, nullptr, *worker, now) &&
+        PreemptOnWorker(step, *worker, now)) {
       --tasks;
     }
   }
 }
 
-bool scheduler::MakeRoomAt(step_state& step, worker_state& worker, const instant& now) {
+bool scheduler::PreemptOnWorker(step_state& step, worker_state& worker, const instant& now) {
   const auto& need = step.spec->need;
   // Runs that are already stopping count as free room, so that no more runs than needed are
   // preempted for the same task.
--- a/src/rosearch/sched/scheduler_progress.cc
+++ b/src/rosearch/sched/scheduler_progress.cc
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-std::optional<duration> scheduler::TypicalTime(const step_state& step,
-                                               const worker_state& beside) const {
+std::optional<duration> scheduler::TypicalRunTime(const step_state& step,
+                                                  const worker_state& excluded_worker) const {
   std::vector<duration> times;
   for (const auto& task : step.tasks) {
     if (task.took > duration{}) {
@@ -62,7 +62,7 @@
     }
   }
   for (const auto* const run : step.runs) {
-    if (run->worker != &beside && run->percent > 0 && run->measured_from) {
+    if (run->worker != &excluded_worker && run->percent > 0 && run->measured_from) {
       const auto observed = run->progressed_at - run->measured_from->at;
       const double gained = static_cast<double>(run->percent) - run->measured_from->percent;
       if (observed >= kMinObservedTime && gained > 0) {
@@ -78,9 +78,10 @@
   return *median;
 }
 
-std::optional<run_outlook> scheduler::Outlook(const live_run& run, const instant& now) const {
+std::optional<run_outlook> scheduler::EstimateOutlook(const live_run& run,
+                                                      const instant& now) const {
   const auto projected = ProjectedTime(run, now);
-  const auto typical = projected ? TypicalTime(*run.step, *run.worker) : std::nullopt;
+  const auto typical = projected ? TypicalRunTime(*run.step, *run.worker) : std::nullopt;
   if (!typical || *typical <= duration{} ||
       now.steady - run.measured_from->at < *typical * kMinObservedShare) {
     return std::nullopt;
@@ -98,11 +99,11 @@
   return outlook;
 }
 
-void scheduler::NoteSpeed(const live_run& run, duration took) {
+void scheduler::RecordRunSpeed(const live_run& run, duration took) {
   if (run.step == nullptr || !run.checkpoint.empty() || run.step->spec->service || IsOverloaded()) {
     return;
   }
-  const auto typical = TypicalTime(*run.step, *run.worker);
+  const auto typical = TypicalRunTime(*run.step, *run.worker);
   run.step->tasks[run.index].took = took;
   if (!typical || *typical <= duration{}) {
     return;
@@ -118,7 +119,7 @@
   slowness += weight * (std::clamp(ratio, kMinSlownessRatio, kMaxSlownessRatio) - slowness);
 }
 
-bool scheduler::MayRescue() const {
+bool scheduler::MayRescueRun() const {
   std::size_t moving = 0;
   std::size_t runs = 0;
   for (const auto& [id, worker] : workers_) {
@@ -145,7 +146,7 @@
   for (const auto& [task, run] : worker.runs) {
     const bool comparable = run->step != nullptr && !run->step->spec->service &&
                             !run->step->spec->uses_leftover && !IsTerminal(run->step->job->phase);
-    const auto outlook = comparable ? Outlook(*run, now) : std::nullopt;
+    const auto outlook = comparable ? EstimateOutlook(*run, now) : std::nullopt;
     if (!outlook) {
       continue;
     }
@@ -175,13 +176,13 @@
     const bool worth_moving =
         std::chrono::duration<double>{outlook.remaining} >
         std::chrono::duration<double>{outlook.elsewhere} * settings_.rescue_gain;
-    if (worth_moving && !run->copied && run->phase == run_phase::kRunning && MayRescue()) {
-      Rescue(*run, outlook, now);
+    if (worth_moving && !run->copied && run->phase == run_phase::kRunning && MayRescueRun()) {
+      RescueRun(*run, outlook, now);
     }
   }
 }
 
-void scheduler::Rescue(live_run& run, const run_outlook& outlook, const instant& now) {
+void scheduler::RescueRun(live_run& run, const run_outlook& outlook, const instant& now) {
   auto& step = *run.step;
   log_.Write(event_line{"run_slow", event_weight::kFailure}
                  .Add("task", run.task)
--- a/src/rosearch/sched/scheduler_reservations.cc
+++ b/src/rosearch/sched/scheduler_reservations.cc
@@ -41,8 +41,8 @@
          !spec.service && !spec.uses_leftover;
 }
 
-duration scheduler::UntilRoom(const step_state& step, const worker_state& worker,
-                              const instant& now) const {
+duration scheduler::TimeUntilRoom(const step_state& step, const worker_state& worker,
+                                  const instant& now) const {
   std::vector<std::pair<duration, resources>> ends;
   for (const auto& [task, run] : worker.runs) {
     const bool stops = run->phase == run_phase::kStopping || MayPreempt(step, *run);
@@ -61,23 +61,24 @@
   return step.spec->need.FitsIn(free) ? until : duration::max();
 }
 
-bool scheduler::SoonFree(const step_state& step, const worker_state& worker,
-                         const instant& now) const {
+bool scheduler::HasRoomSoon(const step_state& step, const worker_state& worker,
+                            const instant& now) const {
   if (!worker.ReservedFor(step) || !step.job->advice) {
     return false;
   }
   const auto& cost = *step.job->advice;
-  return UntilRoom(step, worker, now) <= cost.base + cost.per_worker;
+  return TimeUntilRoom(step, worker, now) <= cost.base + cost.per_worker;
 }
 
-std::vector<worker_state*> scheduler::Reservable(const step_state& step, const instant& now) const {
+std::vector<worker_state*> scheduler::ReservableWorkers(const step_state& step,
+                                                        const instant& now) const {
   std::vector<std::pair<duration, worker_state*>> found;
   const auto consider = [&](worker_state& worker) {
     const bool taken = worker.reservation && !worker.ReservedFor(step);
-    if (taken || !MayRun(step, nullptr, worker, now)) {
+    if (taken || !IsEligible(step, nullptr, worker, now)) {
       return;
     }
-    const auto until = UntilRoom(step, worker, now);
+    const auto until = TimeUntilRoom(step, worker, now);
     if (until != duration::max()) {
       found.emplace_back(until, &worker);
     }
@@ -123,7 +124,7 @@
   }
   const auto max_reserved = std::max<std::size_t>(
       1, static_cast<std::size_t>(settings_.max_reserved_share * static_cast<double>(pool_size)));
-  auto chosen = Reservable(step, now);
+  auto chosen = ReservableWorkers(step, now);
   // Where many workers are suitable, one of them soon has room, and a reservation only leaves room
   // unused: under load of twice the capacity, it lowered the share of jobs in time from 39% to 35%.
   if (static_cast<double>(chosen.size()) >
@@ -144,7 +145,8 @@
     worker->reservation = room_reservation{&step, step.job->priority, step.spec->need,
                                            now.steady + 2 * settings_.reservation_interval};
     const bool stops = !step.spec->need.FitsIn(worker->FreeFor(step)) &&
-                       settings_.Uses(mechanism::kPreemption) && MakeRoomAt(step, *worker, now);
+                       settings_.Uses(mechanism::kPreemption) &&
+                       PreemptOnWorker(step, *worker, now);
     if (std::ranges::find(before, worker) != before.end()) {
       continue;
     }
@@ -153,7 +155,7 @@
                    .Add("step", step.Name())
                    .Add("worker", worker->facts.id)
                    .Add("waited_ms", now.steady - step.open_since)
-                   .Add("until_room_ms", UntilRoom(step, *worker, now))
+                   .Add("until_room_ms", TimeUntilRoom(step, *worker, now))
                    .Add("stops", static_cast<int>(stops)));
   }
 }
--- a/src/rosearch/sched/scheduler_runs.cc
+++ b/src/rosearch/sched/scheduler_runs.cc
@@ -185,7 +185,7 @@
                  .Add("took_ms", took));
   if (how == end_kind::kDone) {
     worker.health.RecordSuccess();
-    NoteSpeed(run, took);
+    RecordRunSpeed(run, took);
   } else if (how == end_kind::kFailed && worker.health.RecordFailure(settings_, now.steady)) {
     log_.Write(event_line{"worker_quarantined", event_weight::kBelief}
                    .Add("worker", worker.facts.id)
--- a/src/rosearch/sched/scheduler_views.cc
+++ b/src/rosearch/sched/scheduler_views.cc
@@ -67,7 +67,7 @@
     view.what = "its_runs";
   } else if (!step.job->accepted) {
     view.what = "store";
-  } else if (!Startable(step)) {
+  } else if (!IsStartable(step)) {
     view.what = "old_workers";
   }
   if (!view.what.empty()) {
@@ -78,7 +78,7 @@
       ++view.out_of_use;
     } else if (!worker->health.IsUsable(now.steady)) {
       ++view.left_alone;
-    } else if (!MayRun(step, nullptr, *worker, now)) {
+    } else if (!IsEligible(step, nullptr, *worker, now)) {
       ++view.unfit;
     } else if (step.advice.Refused(id)) {
       ++view.not_allowed;
