--- a/test/rosearch/sched/cell_world.cc
+++ b/test/rosearch/sched/cell_world.cc
@@ -18,7 +18,7 @@
 constexpr duration kStopDelay = std::chrono::milliseconds{300};
 constexpr std::uint32_t kMaxAttempts = 4;
 
-cell_configuration Configuration(const world_shape& shape) {
+cell_configuration Configuration(const world_options& options) {
   cell_configuration made;
   made.version = 1;
   made.queues = {{"quick", "cell.test", "/jobs/", std::string{cell_world::kPool}, 0, kMaxAttempts,
@@ -28,10 +28,10 @@
                  {"long", "cell.test", "/plans/", std::string{cell_world::kPool}, 2, kMaxAttempts,
                   2.2, std::chrono::milliseconds{1'200}, std::nullopt}};
   made.pools = {{std::string{cell_world::kPool}, false, false}};
-  if (shape.long_advice != advice_cost{}) {
-    made.queues[1].advice = shape.long_advice;
+  if (options.long_queue_advice != advice_cost{}) {
+    made.queues[1].advice = options.long_queue_advice;
   }
-  if (!shape.urgent_queue) {
+  if (!options.has_urgent_queue) {
     made.queues.erase(made.queues.begin());
   }
   return made;
@@ -50,18 +50,18 @@
 
 }  // namespace
 
-bool kept_log::Has(const std::string& part) const {
+bool recording_sink::Has(const std::string& part) const {
   return std::ranges::any_of(
       lines, [&](const auto& line) { return line.find(part) != std::string::npos; });
 }
 
 cell_world::cell_world(std::uint64_t seed, const world_faults& faults, std::size_t workers,
-                       const scheduler_settings& settings, const world_shape& shape)
+                       const scheduler_settings& settings, const world_options& options)
     : random_{seed},
       faults_{faults},
       settings_{settings},
-      shape_{shape},
-      advice_free_at_(shape.advice_processes),
+      options_{options},
+      advice_free_at_(options.max_advice_queries),
       now_{std::chrono::seconds{100}} {
   settings_.max_lease = kMaxLease;
   constexpr std::int64_t kProcessorsMilli[]{16'000, 16'000, 8'000, 32'000};
@@ -73,13 +73,13 @@
     made.facts.rack = "r" + std::to_string(at / 4);
     made.facts.labels = {"a", made.facts.rack};
     made.facts.capacity = {kProcessorsMilli[at % 4], kProcessorsMilli[at % 4] * 4, 0};
-    if (shape.worker != resources{}) {
-      made.facts.capacity = shape.worker;
+    if (options.worker != resources{}) {
+      made.facts.capacity = options.worker;
     }
     workers_[made.facts.id] = std::move(made);
   }
-  Lead();
-  Second();
+  StartLeader();
+  InjectFaults();
 }
 
 cell_world::~cell_world() = default;
@@ -89,43 +89,44 @@
           std::chrono::duration_cast<std::chrono::milliseconds>(now_.time_since_epoch()).count()};
 }
 
-void cell_world::Break(const std::string& what) {
-  broken_.push_back(what + " at " +
-                    std::to_string(std::chrono::duration<double>{now_.time_since_epoch()}.count()));
+void cell_world::AddViolation(const std::string& what) {
+  violations_.push_back(
+      what + " at " +
+      std::to_string(std::chrono::duration<double>{now_.time_since_epoch()}.count()));
 }
 
-void cell_world::At(time_point when, std::function<void()> what) {
+void cell_world::ScheduleAt(time_point when, std::function<void()> what) {
   events_.emplace(when, std::move(what));
 }
 
-cell_world::fake_worker* cell_world::Find(const std::string& id) {
+cell_world::fake_worker* cell_world::FindWorker(const std::string& id) {
   const auto found = workers_.find(id);
   return found == workers_.end() ? nullptr : &found->second;
 }
 
 // Leader.
 
-void cell_world::Lead() {
+void cell_world::StartLeader() {
   ++epoch_;
-  storing_ = false;
+  append_pending_ = false;
   watched_.clear();
   leader_ = std::make_unique<scheduler>(settings_, epoch_, log_);
   for (const auto& [key, value] : store_) {
     if (!leader_->Restore({key, value}, Now())) {
-      Break("unreadable record " + key);
+      AddViolation("unreadable record " + key);
     }
   }
-  leader_->Configure(Configuration(shape_), Now());
+  leader_->Configure(Configuration(options_), Now());
   for (const auto& [id, worker] : workers_) {
     leader_->ObserveWorker(worker.facts, Now());
   }
   leader_->FinishRestore(Now());
-  TickAfter(kNetworkDelay);
+  ScheduleTick(kNetworkDelay);
 }
 
-void cell_world::TickAfter(duration pause) {
-  After(pause, [this, epoch = epoch_, due = now_ + pause] {
-    ToLeader([this, epoch, due] { Tick(epoch, due); });
+void cell_world::ScheduleTick(duration pause) {
+  ScheduleAfter(pause, [this, epoch = epoch_, due = now_ + pause] {
+    EnqueueForLeader([this, epoch, due] { Tick(epoch, due); });
   });
 }
 
@@ -138,68 +139,69 @@
   }
   leader_->NoteDelay(now_ - due);
   leader_->Tick(Now());
-  Pump();
-  TickAfter(kTickInterval);
+  RequestPass();
+  ScheduleTick(kTickInterval);
 }
 
 void cell_world::ReplaceLeader() {
   log_.lines.clear();
-  Lead();
+  StartLeader();
 }
 
-void cell_world::ToLeader(std::function<void()> what) {
-  if (shape_.cost == leader_cost{}) {
+void cell_world::EnqueueForLeader(std::function<void()> what) {
+  if (options_.cost == leader_cost{}) {
     what();
     return;
   }
   inbox_.push_back(std::move(what));
-  WorkSoon();
+  ScheduleInbox();
 }
 
-void cell_world::WorkSoon() {
-  if (!inbox_.empty() && !std::exchange(working_, true)) {
-    At(std::max(now_, busy_until_), [this] { Work(); });
+void cell_world::ScheduleInbox() {
+  if (!inbox_.empty() && !std::exchange(action_scheduled_, true)) {
+    ScheduleAt(std::max(now_, busy_until_), [this] { RunNextAction(); });
   }
 }
 
-void cell_world::Work() {
+void cell_world::RunNextAction() {
   const auto what = std::move(inbox_.front());
   inbox_.pop_front();
   const auto attempts_before = leader_->PlacementAttempts();
-  const auto orders_before = orders_;
+  const auto orders_before = order_count_;
   what();
   const auto attempts = static_cast<int>(leader_->PlacementAttempts() - attempts_before);
-  const auto orders = static_cast<int>(orders_ - orders_before);
-  const auto& cost = shape_.cost;
+  const auto orders = static_cast<int>(order_count_ - orders_before);
+  const auto& cost = options_.cost;
   const auto took = cost.message + cost.attempt * attempts + cost.order * orders;
-  busy_until_ = now_ + std::chrono::duration_cast<duration>(took / processor_);
-  working_ = false;
-  WorkSoon();
+  busy_until_ = now_ + std::chrono::duration_cast<duration>(took / processor_share_);
+  action_scheduled_ = false;
+  ScheduleInbox();
 }
 
-void cell_world::Pump() {
-  if (shape_.cost == leader_cost{}) {
-    Pass();
+void cell_world::RequestPass() {
+  if (options_.cost == leader_cost{}) {
+    RunPass();
     return;
   }
   if (std::exchange(pass_pending_, true)) {
     return;
   }
-  At(std::max(now_, passed_at_ + std::max(kMinPassInterval, leader_->ExtraPassDelay())), [this] {
-    ToLeader([this] {
-      pass_pending_ = false;
-      passed_at_ = now_;
-      Pass();
-    });
-  });
+  ScheduleAt(std::max(now_, last_pass_at_ + std::max(kMinPassInterval, leader_->ExtraPassDelay())),
+             [this] {
+               EnqueueForLeader([this] {
+                 pass_pending_ = false;
+                 last_pass_at_ = now_;
+                 RunPass();
+               });
+             });
 }
 
-void cell_world::Pass() {
+void cell_world::RunPass() {
   leader_->Schedule(Now());
   const auto orders = leader_->TakeOrders();
-  orders_ += orders.size();
+  order_count_ += orders.size();
   for (const auto& decided : orders) {
-    CarryOut(decided);
+    Execute(decided);
   }
   for (const auto& settled : leader_->TakeSettled()) {
     auto& job = jobs_[settled.id];
@@ -212,17 +214,17 @@
   (void)leader_->TakeAcked();
   for (const auto& id : leader_->WatchedWorkers()) {
     if (watched_.insert(id).second) {
-      Watch(id, epoch_);
+      SendWatch(id, epoch_);
     }
   }
-  StoreSoon();
+  StorePending();
 }
 
-void cell_world::StoreSoon() {
-  if (storing_ || !leader_->HasRecords()) {
+void cell_world::StorePending() {
+  if (append_pending_ || !leader_->HasRecords()) {
     return;
   }
-  storing_ = true;
+  append_pending_ = true;
   SendBatch(epoch_, leader_->TakeBatch(), false);
 }
 
@@ -232,7 +234,7 @@
   }
   const bool refused = random_.Chance(faults_.store_refuses);
   const bool dropped = !refused && random_.Chance(faults_.store_drops);
-  const bool silent = !refused && !dropped && random_.Chance(faults_.store_silent);
+  const bool silent = !refused && !dropped && random_.Chance(faults_.store_answer_lost);
   if (!refused && !dropped) {
     for (const auto& record : batch.records) {
       if (record.value.empty()) {
@@ -243,7 +245,7 @@
     }
   }
   const auto answer_delay = silent || dropped ? kAnswerTimeout : kStoreAnswerDelay;
-  After(answer_delay, [this, epoch, batch, refused, silent, dropped, may_be_stored] {
+  ScheduleAfter(answer_delay, [this, epoch, batch, refused, silent, dropped, may_be_stored] {
     if (epoch != epoch_) {
       return;
     }
@@ -252,17 +254,17 @@
       SendBatch(epoch, batch, may_be_stored || silent || dropped);
       return;
     }
-    ToLeader([this, epoch, batch, refused] {
+    EnqueueForLeader([this, epoch, batch, refused] {
       if (epoch != epoch_) {
         return;
       }
-      storing_ = false;
+      append_pending_ = false;
       if (refused) {
         leader_->OnNotStored(batch.number);
       } else {
         leader_->OnStored(batch.number, Now());
       }
-      Pump();
+      RequestPass();
     });
   });
 }
@@ -272,7 +274,7 @@
 void cell_world::AdvanceWorker(fake_worker& worker) {
   if (now_ >= worker.lease_until) {
     while (!worker.running.empty()) {
-      EndOf(worker, worker.running.begin()->first, end_kind::kLapsed);
+      EndRun(worker, worker.running.begin()->first, end_kind::kLapsed);
     }
   }
   std::vector<std::string> over;
@@ -282,32 +284,32 @@
     }
   }
   for (const auto& task : over) {
-    EndOf(worker, task, worker.running[task].fails ? end_kind::kFailed : end_kind::kDone);
+    EndRun(worker, task, worker.running[task].fails ? end_kind::kFailed : end_kind::kDone);
   }
 }
 
-void cell_world::EndOf(fake_worker& worker, const std::string& key, end_kind how) {
+void cell_world::EndRun(fake_worker& worker, const std::string& key, end_kind how) {
   const auto node = worker.running.extract(key);
   const auto& task = node.key();
   const auto& run = node.mapped();
-  auto& highest = worker.highest_over[task];
+  auto& highest = worker.max_ended_run[task];
   highest = std::max(highest, run.run);
   worker.ended.push_back({++worker.ended_count, task, run.run, how, run.checkpoint});
   auto& job = jobs_[JobOf(task)];
   if (how == end_kind::kDone) {
     job.done.insert(task);
-    job.last_done = now_;
+    job.last_done_at = now_;
   }
 }
 
-void cell_world::Ack(fake_worker& worker, std::uint64_t end) {
+void cell_world::AckEnds(fake_worker& worker, std::uint64_t end) {
   std::erase_if(worker.ended, [&](const ended_row& row) {
     if (row.number > end) {
       return false;
     }
     auto& job = jobs_[JobOf(row.task)];
     if (row.how == end_kind::kDone) {
-      job.done_noted.insert(row.task);
+      job.acked_done.insert(row.task);
     } else if (row.how == end_kind::kFailed) {
       job.failed[row.task].insert(row.run);
     }
@@ -315,7 +317,7 @@
   });
 }
 
-void cell_world::Judge(const fake_worker& worker, const start_order& order) {
+void cell_world::CheckStart(const fake_worker& worker, const start_order& order) {
   const auto name = task_name::Parse(order.task);
   auto& job = jobs_[name->job];
   const auto& step = job.spec.steps[name->step];
@@ -324,37 +326,37 @@
     used = used + run.charged;
   }
   if (!used.FitsIn(worker.facts.capacity)) {
-    Break("worker " + worker.facts.id + " is overcommitted by task " + order.task);
+    AddViolation("worker " + worker.facts.id + " is overcommitted by task " + order.task);
   }
   for (const auto& [id, other] : workers_) {
     if (other.running.contains(order.task) && !step.may_duplicate) {
-      Break("task runs twice at the same time: " + order.task);
+      AddViolation("task runs twice at the same time: " + order.task);
     }
   }
-  if (job.done_noted.contains(order.task)) {
-    Break("task starts again after its success was acknowledged: " + order.task);
+  if (job.acked_done.contains(order.task)) {
+    AddViolation("task starts again after its success was acknowledged: " + order.task);
   }
   if (job.refused && !job.accepted) {
-    Break("task of a refused job starts: " + order.task);
+    AddViolation("task of a refused job starts: " + order.task);
   }
   if (job.failed[order.task].size() >= kMaxAttempts && !step.service) {
-    Break("task exceeds its attempts: " + order.task);
+    AddViolation("task exceeds its attempts: " + order.task);
   }
   for (const auto before : step.after) {
     for (std::uint32_t at = 0; at < job.spec.steps[before].count; ++at) {
       if (!job.done.contains(task_name{name->job, name->occurrence, before, at}.Text())) {
-        Break("task starts before its preceding steps are done: " + order.task);
+        AddViolation("task starts before its preceding steps are done: " + order.task);
       }
     }
   }
   if (job.cancelled && now_ > *job.cancelled + std::chrono::seconds{3}) {
-    Break("task starts over 3 s after its job was cancelled: " + order.task);
+    AddViolation("task starts over 3 s after its job was cancelled: " + order.task);
   }
 }
 
 start_outcome cell_world::Apply(const start_order& order, std::uint64_t fence,
                                 time_point lease_end) {
-  auto* const worker = Find(order.worker);
+  auto* const worker = FindWorker(order.worker);
   if (worker == nullptr) {
     return start_outcome::kOtherIncarnation;
   }
@@ -371,11 +373,11 @@
   if (known != worker->running.end() && known->second.run == order.run) {
     return start_outcome::kStarted;
   }
-  if (order.run <= worker->highest_over[order.task]) {
+  if (order.run <= worker->max_ended_run[order.task]) {
     return start_outcome::kStaleRun;
   }
-  Judge(*worker, order);
-  ++starts_;
+  CheckStart(*worker, order);
+  ++start_count_;
   const auto name = task_name::Parse(order.task);
   const auto& step = jobs_[name->job].spec.steps[name->step];
   const auto percent = random_.Between(50, 160);
@@ -384,90 +386,90 @@
   run.began = now_;
   const auto work = std::chrono::duration_cast<duration>(step.estimate * worker->slowdown);
   run.ends = step.service ? now_ + std::chrono::hours{1} : now_ + work * percent / 100;
-  run.fails = random_.Chance(faults_.run_fails) || worker->sick;
+  run.fails = random_.Chance(faults_.run_fails) || worker->always_fails;
   run.charged = step.need;
   worker->running[order.task] = run;
   return start_outcome::kStarted;
 }
 
 bool cell_world::Apply(const stop_order& order, std::uint64_t fence) {
-  auto* const worker = Find(order.worker);
+  auto* const worker = FindWorker(order.worker);
   if (worker == nullptr || fence < worker->fence) {
     return false;
   }
   worker->fence = fence;
   AdvanceWorker(*worker);
-  auto& highest = worker->highest_over[order.task];
+  auto& highest = worker->max_ended_run[order.task];
   highest = std::max(highest, order.run);
   const auto found = worker->running.find(order.task);
   if (found != worker->running.end() && found->second.run <= order.run) {
-    After(kStopDelay, [this, id = order.worker, task = order.task, run = order.run] {
-      auto* const current = Find(id);
+    ScheduleAfter(kStopDelay, [this, id = order.worker, task = order.task, run = order.run] {
+      auto* const current = FindWorker(id);
       if (current != nullptr && current->running.contains(task) &&
           current->running[task].run == run) {
-        EndOf(*current, task, end_kind::kStopped);
+        EndRun(*current, task, end_kind::kStopped);
       }
     });
   }
   return true;
 }
 
-void cell_world::CarryOut(const order& decided) {
-  std::visit([this](const auto& each) { CarryOut(each); }, decided);
-}
-
-void cell_world::CarryOut(const start_order& decided) {
-  const bool late = random_.Chance(faults_.order_late);
-  const bool lost = random_.Chance(faults_.answer_lost);
-  After(late ? std::chrono::milliseconds{random_.Between(2'000, 12'000)} : kNetworkDelay,
-        [this, decided, late, lost, fence = epoch_, lease_end = now_ + kMaxLease] {
-          auto* const worker = Find(decided.worker);
-          const bool cut = worker != nullptr && !Reachable(*worker);
-          const auto outcome = cut ? start_outcome::kUnknown : Apply(decided, fence, lease_end);
-          const bool answered = !cut && !late && !lost;
-          After(answered ? kNetworkDelay : kAnswerTimeout,
-                [this, decided, outcome, answered, late, fence] {
-                  ToLeader([this, decided, outcome, answered, late, fence] {
-                    if (fence == epoch_ && !late) {
-                      leader_->OnStartAnswer(decided, answered ? outcome : start_outcome::kUnknown,
-                                             Now());
-                      Pump();
-                    }
-                  });
-                });
+void cell_world::Execute(const order& decided) {
+  std::visit([this](const auto& each) { Execute(each); }, decided);
+}
+
+void cell_world::Execute(const start_order& decided) {
+  const bool late = random_.Chance(faults_.order_delayed);
+  const bool lost = random_.Chance(faults_.order_answer_lost);
+  ScheduleAfter(
+      late ? std::chrono::milliseconds{random_.Between(2'000, 12'000)} : kNetworkDelay,
+      [this, decided, late, lost, fence = epoch_, lease_end = now_ + kMaxLease] {
+        auto* const worker = FindWorker(decided.worker);
+        const bool cut = worker != nullptr && !Reachable(*worker);
+        const auto outcome = cut ? start_outcome::kUnknown : Apply(decided, fence, lease_end);
+        const bool answered = !cut && !late && !lost;
+        ScheduleAfter(answered ? kNetworkDelay : kAnswerTimeout, [this, decided, outcome, answered,
+                                                                  late, fence] {
+          EnqueueForLeader([this, decided, outcome, answered, late, fence] {
+            if (fence == epoch_ && !late) {
+              leader_->OnStartAnswer(decided, answered ? outcome : start_outcome::kUnknown, Now());
+              RequestPass();
+            }
+          });
         });
+      });
   if (late) {
-    After(kAnswerTimeout, [this, decided, fence = epoch_] {
-      ToLeader([this, decided, fence] {
+    ScheduleAfter(kAnswerTimeout, [this, decided, fence = epoch_] {
+      EnqueueForLeader([this, decided, fence] {
         if (fence == epoch_) {
           leader_->OnStartAnswer(decided, start_outcome::kUnknown, Now());
-          Pump();
+          RequestPass();
         }
       });
     });
   }
 }
 
-void cell_world::CarryOut(const stop_order& decided) {
-  const bool lost = random_.Chance(faults_.answer_lost);
-  After(kNetworkDelay, [this, decided, lost, fence = epoch_] {
-    auto* const worker = Find(decided.worker);
+void cell_world::Execute(const stop_order& decided) {
+  const bool lost = random_.Chance(faults_.order_answer_lost);
+  ScheduleAfter(kNetworkDelay, [this, decided, lost, fence = epoch_] {
+    auto* const worker = FindWorker(decided.worker);
     const bool cut = worker != nullptr && !Reachable(*worker);
     const bool answered = !cut && Apply(decided, fence) && !lost;
-    After(answered ? kNetworkDelay : kAnswerTimeout, [this, decided, answered, fence] {
-      ToLeader([this, decided, answered, fence] {
+    ScheduleAfter(answered ? kNetworkDelay : kAnswerTimeout, [this, decided, answered, fence] {
+      EnqueueForLeader([this, decided, answered, fence] {
         if (fence == epoch_) {
           leader_->OnStopAnswer(decided, answered, Now());
-          Pump();
+          RequestPass();
         }
       });
     });
   });
 }
 
-void cell_world::CarryOut(const advice_query& decided) {
+void cell_world::Execute(const advice_query& decided) {
   // Draws no random number while the fault is off, so runs of other faults keep their sequence.
-  if (faults_.advice_lost > 0 && random_.Chance(faults_.advice_lost)) {
+  if (faults_.advice_answer_lost > 0 && random_.Chance(faults_.advice_answer_lost)) {
     return;
   }
   const auto cost = QueryCost(decided);
@@ -477,26 +479,26 @@
     free_at = std::max(free_at, now_) + cost;
     answered_at = free_at;
   }
-  At(answered_at, [this, decided, epoch = epoch_] {
+  ScheduleAt(answered_at, [this, decided, epoch = epoch_] {
     if (epoch != epoch_) {
       return;
     }
     std::vector<advised_worker> allowed;
     for (const auto& worker : decided.workers) {
-      if (std::hash<std::string>{}(decided.step + worker) % 10 < shape_.allowed_tenths) {
+      if (std::hash<std::string>{}(decided.step + worker) % 10 < options_.advice_allowed_tenths) {
         allowed.push_back({worker, "ticket"});
       }
     }
-    ToLeader([this, decided, allowed, epoch] {
+    EnqueueForLeader([this, decided, allowed, epoch] {
       if (epoch == epoch_) {
         leader_->OnAdvice(decided, &allowed, Now());
-        Pump();
+        RequestPass();
       }
     });
   });
 }
 
-void cell_world::Watch(const std::string& id, std::uint64_t epoch) {
+void cell_world::SendWatch(const std::string& id, std::uint64_t epoch) {
   if (epoch != epoch_) {
     return;
   }
@@ -505,33 +507,33 @@
     watched_.erase(id);
     return;
   }
-  After(kNetworkDelay, [this, id, epoch, watch = *watch, sent_at = now_] {
-    Answer(id, epoch, watch, sent_at, now_ + watch.wait);
+  ScheduleAfter(kNetworkDelay, [this, id, epoch, watch = *watch, sent_at = now_] {
+    AnswerWatch(id, epoch, watch, sent_at, now_ + watch.wait);
   });
 }
 
-void cell_world::Answer(const std::string& id, std::uint64_t epoch, const watch_request& watch,
-                        time_point sent_at, time_point give_up) {
-  auto* const worker = Find(id);
+void cell_world::AnswerWatch(const std::string& id, std::uint64_t epoch, const watch_request& watch,
+                             time_point sent_at, time_point give_up) {
+  auto* const worker = FindWorker(id);
   const auto next = [this, id, epoch] {
     if (epoch == epoch_) {
-      Pump();
-      After(leader_->WatchDelay(id, Now()), [this, id, epoch] { Watch(id, epoch); });
+      RequestPass();
+      ScheduleAfter(leader_->WatchDelay(id, Now()), [this, id, epoch] { SendWatch(id, epoch); });
     }
   };
   if (worker == nullptr || !Reachable(*worker) || epoch < worker->fence) {
     const auto failure = worker == nullptr       ? watch_failure::kOtherIncarnation
                          : epoch < worker->fence ? watch_failure::kStaleFence
                                                  : watch_failure::kNoAnswer;
-    After(failure == watch_failure::kNoAnswer ? kAnswerTimeout : kNetworkDelay,
-          [this, id, epoch, failure, next] {
-            ToLeader([this, id, epoch, failure, next] {
-              if (epoch == epoch_) {
-                leader_->OnWatchFailed(id, failure, Now());
-                next();
-              }
-            });
-          });
+    ScheduleAfter(failure == watch_failure::kNoAnswer ? kAnswerTimeout : kNetworkDelay,
+                  [this, id, epoch, failure, next] {
+                    EnqueueForLeader([this, id, epoch, failure, next] {
+                      if (epoch == epoch_) {
+                        leader_->OnWatchFailed(id, failure, Now());
+                        next();
+                      }
+                    });
+                  });
     return;
   }
   worker->fence = epoch;
@@ -539,10 +541,10 @@
   if (watch.extend_lease) {
     worker->lease_until = std::max(worker->lease_until, sent_at + kMaxLease);
   }
-  Ack(*worker, watch.acked_end);
+  AckEnds(*worker, watch.acked_end);
   if (worker->ended.empty() && now_ < give_up) {
-    After(std::chrono::milliseconds{10}, [this, id, epoch, watch, sent_at, give_up] {
-      Answer(id, epoch, watch, sent_at, give_up);
+    ScheduleAfter(std::chrono::milliseconds{10}, [this, id, epoch, watch, sent_at, give_up] {
+      AnswerWatch(id, epoch, watch, sent_at, give_up);
     });
     return;
   }
@@ -556,8 +558,8 @@
     const auto percent = service ? 100U : static_cast<std::uint32_t>(part * 99);
     report.running.push_back({task, run.run, run.checkpoint, percent, 0});
   }
-  After(kNetworkDelay, [this, id, epoch, report, sent_at, next] {
-    ToLeader([this, id, epoch, report, sent_at, next] {
+  ScheduleAfter(kNetworkDelay, [this, id, epoch, report, sent_at, next] {
+    EnqueueForLeader([this, id, epoch, report, sent_at, next] {
       if (epoch == epoch_) {
         leader_->OnReport(id, sent_at, report, Now());
         next();
@@ -568,27 +570,27 @@
 
 // Faults, callers, virtual time.
 
-void cell_world::SickenWorker(std::size_t number) {
-  std::next(workers_.begin(), static_cast<std::ptrdiff_t>(number))->second.sick = true;
+void cell_world::MakeWorkerFail(std::size_t number) {
+  std::next(workers_.begin(), static_cast<std::ptrdiff_t>(number))->second.always_fails = true;
 }
 
-void cell_world::SlowWorker(std::size_t number, double factor) {
+void cell_world::SetWorkerSlowdown(std::size_t number, double factor) {
   std::next(workers_.begin(), static_cast<std::ptrdiff_t>(number))->second.slowdown = factor;
 }
 
-void cell_world::CutWorker(std::size_t number, duration span) {
+void cell_world::DisconnectWorker(std::size_t number, duration span) {
   auto worker = workers_.begin();
   std::advance(worker, static_cast<std::ptrdiff_t>(number % workers_.size()));
-  worker->second.cut_until = now_ + span;
+  worker->second.unreachable_until = now_ + span;
 }
 
-void cell_world::Second() {
+void cell_world::InjectFaults() {
   std::vector<std::string> dying;
   for (auto& [id, worker] : workers_) {
-    if (random_.Chance(faults_.worker_cut)) {
-      worker.cut_until = now_ + std::chrono::milliseconds{random_.Between(1'000, 9'000)};
+    if (random_.Chance(faults_.worker_unreachable)) {
+      worker.unreachable_until = now_ + std::chrono::milliseconds{random_.Between(1'000, 9'000)};
     }
-    if (random_.Chance(faults_.worker_dies)) {
+    if (random_.Chance(faults_.worker_restarts)) {
       dying.push_back(id);
     }
   }
@@ -603,9 +605,9 @@
     workers_[made.facts.id] = std::move(made);
   }
   if (random_.Chance(faults_.leader_dies)) {
-    Lead();
+    StartLeader();
   }
-  After(std::chrono::seconds{1}, [this] { Second(); });
+  ScheduleAfter(std::chrono::seconds{1}, [this] { InjectFaults(); });
 }
 
 std::string cell_world::Submit(job_spec job) {
@@ -622,11 +624,11 @@
   job.objective = CriticalPath(job.steps) * 3 / 2 + std::chrono::milliseconds{250};
   auto& known = jobs_[job.id];
   known.spec = job;
-  known.handed_in = now_;
+  known.submitted_at = now_;
   const auto answer = leader_->Submit(job, Now());
   known.refused = answer.verdict == submit_verdict::kRefused;
   if (!known.refused) {
-    Pump();
+    RequestPass();
   }
   return job.id;
 }
@@ -636,7 +638,7 @@
   if (leader_->Cancel(id, job.spec.queue, Now()) == cancel_verdict::kCancelled) {
     jobs_[id].cancelled = now_;
   }
-  Pump();
+  RequestPass();
 }
 
 void cell_world::Run(duration span) {
@@ -650,10 +652,10 @@
   for (const auto& [id, job] : jobs_) {
     const auto phase = leader_->Phase(id, job.spec.queue);
     if (phase == job_phase::kCompleted && job.done.size() < CompletingEnds(job.spec)) {
-      Break("job reported as completed before all its tasks ended: " + id);
+      AddViolation("job reported as completed before all its tasks ended: " + id);
     }
     if (job.accepted && !phase) {
-      Break("accepted job is unknown to the leader: " + id);
+      AddViolation("accepted job is unknown to the leader: " + id);
     }
   }
 }
@@ -675,7 +677,7 @@
   return open;
 }
 
-std::size_t cell_world::RunningOf(const std::string& job) const {
+std::size_t cell_world::RunningCount(const std::string& job) const {
   std::size_t count = 0;
   for (const auto& [id, worker] : workers_) {
     count += static_cast<std::size_t>(std::ranges::count_if(
@@ -684,12 +686,12 @@
   return count;
 }
 
-std::optional<duration> cell_world::DoneAfter(const std::string& id) const {
+std::optional<duration> cell_world::CompletionTime(const std::string& id) const {
   const auto& job = jobs_.at(id);
-  if (job.last_done == time_point{}) {
+  if (job.last_done_at == time_point{}) {
     return std::nullopt;
   }
-  return job.last_done - job.handed_in;
+  return job.last_done_at - job.submitted_at;
 }
 
 }  // namespace rosearch::sched
--- a/test/rosearch/sched/cell_world.h
+++ b/test/rosearch/sched/cell_world.h
@@ -18,7 +18,7 @@
 namespace rosearch::sched {
 
 /// Event sink that records log lines for assertions.
-class kept_log final : public event_sink {
+class recording_sink final : public event_sink {
  public:
   void Write(const event_line& line) override { lines.push_back(line.text()); }
   [[nodiscard]] bool Has(const std::string& part) const;
@@ -28,17 +28,17 @@
 
 /// Probabilities of the faults that a simulated cell injects; 0 disables a fault.
 struct world_faults {
-  double answer_lost{0};       ///< per order: executed, but the answer is lost
-  double order_late{0};        ///< per order: not answered, executed 2 to 12 s later
-  double run_fails{0};         ///< per run: ends as failed
-  double store_refuses{0};     ///< per append: refused
-  double store_silent{0};      ///< per append: stored, but the answer is lost
-  double store_drops{0};       ///< per append: neither stored nor answered
-  double advice_lost{0};       ///< per advice query: never answered
-  double worker_dies{0};       ///< per worker and second: restarts under a new id
-  double worker_cut{0};        ///< per worker and second: unreachable for 1 to 9 s
-  double leader_dies{0};       ///< per second: replaced by a new leader
-  double old_leader_talks{0};  ///< per order of a former leader: arrives seconds late; unused
+  double order_answer_lost{0};   ///< per order: executed, but the answer is lost
+  double order_delayed{0};       ///< per order: not answered, executed 2 to 12 s later
+  double run_fails{0};           ///< per run: ends as failed
+  double store_refuses{0};       ///< per append: refused
+  double store_answer_lost{0};   ///< per append: stored, but the answer is lost
+  double store_drops{0};         ///< per append: neither stored nor answered
+  double advice_answer_lost{0};  ///< per advice query: never answered
+  double worker_restarts{0};     ///< per worker and second: restarts under a new id
+  double worker_unreachable{0};  ///< per worker and second: unreachable for 1 to 9 s
+  double leader_dies{0};         ///< per second: replaced by a new leader
+  double stale_orders{0};        ///< per order of a former leader: arrives seconds late; unused
 };
 
 /// Processor time that a leader with a whole processor spends on its work; 0 means free.
@@ -51,12 +51,12 @@
 };
 
 /// Configuration of a simulated cell.
-struct world_shape {
+struct world_options {
   resources worker{};               ///< capacity of each; 0: 8 to 32 processors, no accelerators
-  advice_cost long_advice{};        ///< of the long queue; 0: it needs no advice
-  std::uint32_t allowed_tenths{7};  ///< tenths of the workers that advice allows
-  std::size_t advice_processes{0};  ///< concurrent advice queries; 0: unlimited
-  bool urgent_queue{true};          ///< whether an urgent queue shares the workers
+  advice_cost long_queue_advice{};  ///< of the long queue; 0: it needs no advice
+  std::uint32_t advice_allowed_tenths{7};  ///< tenths of the workers that advice allows
+  std::size_t max_advice_queries{0};       ///< concurrent advice queries; 0: unlimited
+  bool has_urgent_queue{true};             ///< whether an urgent queue shares the workers
   leader_cost cost{};
 };
 
@@ -66,7 +66,7 @@
 class cell_world {
  public:
   cell_world(std::uint64_t seed, const world_faults& faults, std::size_t workers,
-             const scheduler_settings& settings = {}, const world_shape& shape = {});
+             const scheduler_settings& settings = {}, const world_options& options = {});
   ~cell_world();
 
   /// Submits a job under a generated id.
@@ -76,31 +76,31 @@
   /// Advances virtual time, then checks the phases of all jobs.
   void Run(duration span);
   /// Stops injecting random faults. Faults that have already begun run their course.
-  void Calm() { faults_ = {}; }
+  void ClearFaults() { faults_ = {}; }
   void SetFaults(const world_faults& faults) { faults_ = faults; }
   /// Replaces the leader by a new one that restores from the store, and clears the log.
   void ReplaceLeader();
-  void CutWorker(std::size_t number, duration span);
+  void DisconnectWorker(std::size_t number, duration span);
   /// Sets the share of a processor that the leader has from now on.
-  void SetProcessor(double share) { processor_ = share; }
+  void SetLeaderProcessorShare(double share) { processor_share_ = share; }
   /// Makes every run that starts at the worker from now on end as failed.
-  void SickenWorker(std::size_t number);
+  void MakeWorkerFail(std::size_t number);
   /// Multiplies the duration of runs that start at the worker from now on; 1 is normal speed.
-  void SlowWorker(std::size_t number, double factor);
+  void SetWorkerSlowdown(std::size_t number, double factor);
 
   /// @return descriptions of the invariants violated so far, with their times.
-  [[nodiscard]] const std::vector<std::string>& Broken() const { return broken_; }
+  [[nodiscard]] const std::vector<std::string>& Violations() const { return violations_; }
   [[nodiscard]] std::optional<job_phase> Phase(const std::string& id) const;
   /// @return ids of accepted jobs that haven't reached a terminal phase; services are left out.
   [[nodiscard]] std::vector<std::string> Unfinished() const;
-  [[nodiscard]] std::size_t Starts() const { return starts_; }
+  [[nodiscard]] std::size_t StartCount() const { return start_count_; }
   [[nodiscard]] bool Refused(const std::string& job) const { return jobs_.at(job).refused; }
-  [[nodiscard]] std::size_t RunningOf(const std::string& job) const;
+  [[nodiscard]] std::size_t RunningCount(const std::string& job) const;
   [[nodiscard]] scheduler& Leader() { return *leader_; }
-  [[nodiscard]] const kept_log& Log() const { return log_; }
+  [[nodiscard]] const recording_sink& Log() const { return log_; }
   [[nodiscard]] instant Now() const;
   /// @return time from submission to the latest successful task end; nothing before the first.
-  [[nodiscard]] std::optional<duration> DoneAfter(const std::string& job) const;
+  [[nodiscard]] std::optional<duration> CompletionTime(const std::string& job) const;
 
   static constexpr std::string_view kQueue = "cell.test/jobs/";
   static constexpr std::string_view kLongQueue = "cell.test/plans/";
@@ -119,87 +119,91 @@
     worker_facts facts;
     std::uint64_t fence{0};
     time_point lease_until{};
-    time_point cut_until{};
-    bool sick{false};
+    time_point unreachable_until{};
+    bool always_fails{false};
     double slowdown{1};
     std::uint64_t ended_count{0};
     std::map<std::string, fake_run> running;
     std::vector<ended_row> ended;
-    std::map<std::string, std::uint32_t> highest_over;  ///< per task; runs up to it can't start
+    std::map<std::string, std::uint32_t> max_ended_run;  ///< per task; runs up to it can't start
   };
-  struct known_job {
+  struct submitted_job {
     job_spec spec;
     bool accepted{false};
     bool refused{false};
     std::optional<time_point> cancelled;
     std::set<std::string> done;                             ///< tasks that succeeded at a worker
     std::map<std::string, std::set<std::uint32_t>> failed;  ///< acknowledged failed runs per task
-    std::set<std::string> done_noted;  ///< tasks whose success the leader acknowledged
-    time_point handed_in{};
-    time_point last_done{};
+    std::set<std::string> acked_done;  ///< tasks whose success the leader acknowledged
+    time_point submitted_at{};
+    time_point last_done_at{};
   };
 
-  void At(time_point when, std::function<void()> what);
-  void After(duration span, std::function<void()> what) { At(now_ + span, std::move(what)); }
+  void ScheduleAt(time_point when, std::function<void()> what);
+  void ScheduleAfter(duration span, std::function<void()> what) {
+    ScheduleAt(now_ + span, std::move(what));
+  }
   /// Queues an action for the leader, which runs it after all earlier ones; runs it at once where
   /// the leader's work is free.
-  void ToLeader(std::function<void()> what);
-  void WorkSoon();
-  void Work();
+  void EnqueueForLeader(std::function<void()> what);
+  void ScheduleInbox();
+  void RunNextAction();
   /// Runs a scheduling pass: at once where the leader's work is free, else after the pass interval.
-  void Pump();
-  void Pass();
-  void Lead();
+  void RequestPass();
+  void RunPass();
+  void StartLeader();
   /// @param due  when the tick was scheduled to run; a later start counts as leader delay.
   void Tick(std::uint64_t epoch, time_point due);
-  void TickAfter(duration pause);
-  void StoreSoon();
+  void ScheduleTick(duration pause);
+  void StorePending();
   void SendBatch(std::uint64_t epoch, const state_batch& batch, bool may_be_stored);
-  void Watch(const std::string& id, std::uint64_t epoch);
-  void Answer(const std::string& id, std::uint64_t epoch, const watch_request& watch,
-              time_point sent_at, time_point give_up);
-  void CarryOut(const order& decided);
-  void CarryOut(const start_order& decided);
-  void CarryOut(const stop_order& decided);
-  void CarryOut(const pace_order&) {}
-  void CarryOut(const advice_query& decided);
+  void SendWatch(const std::string& id, std::uint64_t epoch);
+  void AnswerWatch(const std::string& id, std::uint64_t epoch, const watch_request& watch,
+                   time_point sent_at, time_point give_up);
+  void Execute(const order& decided);
+  void Execute(const start_order& decided);
+  void Execute(const stop_order& decided);
+  void Execute(const pace_order&) {}
+  void Execute(const advice_query& decided);
   start_outcome Apply(const start_order& order, std::uint64_t fence, time_point lease_end);
   bool Apply(const stop_order& order, std::uint64_t fence);
-  void Judge(const fake_worker& worker, const start_order& order);
-  void EndOf(fake_worker& worker, const std::string& key, end_kind how);
+  void CheckStart(const fake_worker& worker, const start_order& order);
+  void EndRun(fake_worker& worker, const std::string& key, end_kind how);
   void AdvanceWorker(fake_worker& worker);
-  void Second();
-  void Ack(fake_worker& worker, std::uint64_t end);
-  [[nodiscard]] fake_worker* Find(const std::string& id);
-  [[nodiscard]] bool Reachable(const fake_worker& worker) const { return now_ >= worker.cut_until; }
-  void Break(const std::string& what);
+  void InjectFaults();
+  void AckEnds(fake_worker& worker, std::uint64_t end);
+  [[nodiscard]] fake_worker* FindWorker(const std::string& id);
+  [[nodiscard]] bool Reachable(const fake_worker& worker) const {
+    return now_ >= worker.unreachable_until;
+  }
+  void AddViolation(const std::string& what);
 
   random_source random_;
   world_faults faults_;
   scheduler_settings settings_;
-  world_shape shape_;
+  world_options options_;
   std::vector<time_point> advice_free_at_;  ///< per process that sends advice queries
-  kept_log log_;
+  recording_sink log_;
   time_point now_;
   std::multimap<time_point, std::function<void()>> events_;
   std::unique_ptr<scheduler> leader_;
   std::uint64_t epoch_{0};
-  double processor_{1};
+  double processor_share_{1};
   std::deque<std::function<void()>> inbox_;  ///< actions that the leader has yet to run
   time_point busy_until_{};
-  time_point passed_at_{};
-  std::size_t orders_{0};  ///< sent by all leaders so far
-  bool working_{false};
+  time_point last_pass_at_{};
+  std::size_t order_count_{0};  ///< sent by all leaders so far
+  bool action_scheduled_{false};
   bool pass_pending_{false};
   std::map<std::string, std::string> store_;
-  bool storing_{false};
+  bool append_pending_{false};
   std::map<std::string, fake_worker> workers_;
   std::set<std::string> watched_;
-  std::map<std::string, known_job> jobs_;
-  std::vector<std::string> broken_;
+  std::map<std::string, submitted_job> jobs_;
+  std::vector<std::string> violations_;
   std::uint64_t next_id_{1};
   std::uint64_t next_worker_{1};
-  std::size_t starts_{0};
+  std::size_t start_count_{0};
 };
 
 }  // namespace rosearch::sched
--- a/test/rosearch/sched/load_test.cc
+++ b/test/rosearch/sched/load_test.cc
@@ -34,7 +34,7 @@
   [[nodiscard]] double InTime(const cell_world& world, duration work, duration slack) const {
     std::size_t good = 0;
     for (const auto& id : ids_) {
-      const auto took = world.DoneAfter(id);
+      const auto took = world.CompletionTime(id);
       const bool done = world.Phase(id) == job_phase::kCompleted;
       good += done && took && *took <= work * 8 / 5 + slack ? 1 : 0;
     }
@@ -66,7 +66,7 @@
     }
   }
   world.Run(seconds{60});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   return urgent.InTime(world, milliseconds{600}, milliseconds{600});
 }
 
@@ -84,7 +84,7 @@
     world.Run(milliseconds{200});
   }
   world.Run(seconds{120});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   return {all.InTime(world, milliseconds{4'000}, seconds{3}), all.Refused(world)};
 }
 
@@ -92,8 +92,8 @@
 /// @return share of urgent jobs in time.
 double FailingWorkers(const scheduler_settings& settings) {
   cell_world world{13, {}, kWorkers, settings};
-  world.SickenWorker(3);
-  world.SickenWorker(8);
+  world.MakeWorkerFail(3);
+  world.MakeWorkerFail(8);
   world.Run(seconds{1});
   submitted_jobs urgent;
   for (int at = 0; at < 200; ++at) {
@@ -101,7 +101,7 @@
     world.Run(milliseconds{50});
   }
   world.Run(seconds{30});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   return urgent.InTime(world, milliseconds{600}, milliseconds{200});
 }
 
@@ -122,30 +122,30 @@
     const std::size_t first = 3 + static_cast<std::size_t>(at) / kRound;
     const std::size_t second = first + 12;
     if (at % kRound == 0) {
-      world.SlowWorker(first, 7.0);
-      world.SlowWorker(second, 7.0);
+      world.SetWorkerSlowdown(first, 7.0);
+      world.SetWorkerSlowdown(second, 7.0);
     } else if (at % kRound == kRound / 2) {
-      world.SlowWorker(first, 1.0);
-      world.SlowWorker(second, 1.0);
+      world.SetWorkerSlowdown(first, 1.0);
+      world.SetWorkerSlowdown(second, 1.0);
     }
     urgent.Add(world, Job(8, 1'300, milliseconds{700}, false));
     world.Run(milliseconds{100});
   }
   world.Run(seconds{30});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   return urgent.InTime(world, milliseconds{700} * 3, milliseconds{200});
 }
 
 /// Returns a cell of workers with eight accelerators each, three tenths of which advice allows. An
 /// advice query costs over half a second, and three processes send queries.
-world_shape Accelerators() {
-  world_shape shape;
-  shape.worker = {64'000, 128'000, 8};
-  shape.long_advice = {milliseconds{560}, milliseconds{8}, seconds{2}};
-  shape.allowed_tenths = 3;
-  shape.advice_processes = 3;
-  shape.urgent_queue = false;
-  return shape;
+world_options Accelerators() {
+  world_options options;
+  options.worker = {64'000, 128'000, 8};
+  options.long_queue_advice = {milliseconds{560}, milliseconds{8}, seconds{2}};
+  options.advice_allowed_tenths = 3;
+  options.max_advice_queries = 3;
+  options.has_urgent_queue = false;
+  return options;
 }
 
 job_spec Accelerated(std::uint32_t tasks, std::int64_t processors, std::int64_t accelerators,
@@ -158,8 +158,8 @@
 /// Jobs that need four or all eight accelerators of a worker, beside small jobs that need one per
 /// task.
 /// @return share of the large jobs in time.
-double ScarceAccelerators(const scheduler_settings& settings, const world_shape& shape) {
-  cell_world world{15, {}, 13, settings, shape};
+double ScarceAccelerators(const scheduler_settings& settings, const world_options& options) {
+  cell_world world{15, {}, 13, settings, options};
   world.Run(seconds{1});
   submitted_jobs large;
   for (int at = 0; at < 100; ++at) {
@@ -170,7 +170,7 @@
     world.Run(milliseconds{500});
   }
   world.Run(seconds{60});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   return large.InTime(world, milliseconds{5'000}, seconds{4});
 }
 
@@ -178,9 +178,9 @@
 /// nine tenths full.
 /// @return share of the large jobs in time.
 double FewAllowedWorkers(const scheduler_settings& settings) {
-  auto shape = Accelerators();
-  shape.allowed_tenths = 2;
-  cell_world world{16, {}, 13, settings, shape};
+  auto options = Accelerators();
+  options.advice_allowed_tenths = 2;
+  cell_world world{16, {}, 13, settings, options};
   world.Run(seconds{1});
   submitted_jobs large;
   for (int at = 0; at < 120; ++at) {
@@ -191,7 +191,7 @@
     world.Run(milliseconds{380});
   }
   world.Run(seconds{60});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   return large.InTime(world, milliseconds{5'000}, seconds{8});
 }
 
@@ -201,7 +201,7 @@
   cell_world world{17, {}, kWorkers, settings};
   for (std::size_t at = 0; at < kWorkers; ++at) {
     constexpr double kSpeeds[]{0.8, 1.0, 1.25};
-    world.SlowWorker(at, kSpeeds[at % 3]);
+    world.SetWorkerSlowdown(at, kSpeeds[at % 3]);
   }
   world.Run(seconds{1});
   submitted_jobs urgent;
@@ -210,7 +210,7 @@
     world.Run(milliseconds{100});
   }
   world.Run(seconds{30});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   return urgent.InTime(world, milliseconds{700}, milliseconds{100});
 }
 
@@ -284,9 +284,9 @@
   constexpr milliseconds kPause{8};
   scheduler_settings admit_all;
   admit_all.off.Add(mechanism::kAdmission);
-  world_shape shape;
-  shape.allowed_tenths = 1;
-  cell_world world{16, {}, kManyWorkers, admit_all, shape};
+  world_options options;
+  options.advice_allowed_tenths = 1;
+  cell_world world{16, {}, kManyWorkers, admit_all, options};
   world.Run(seconds{1});
   for (int at = 0; at < kRounds; ++at) {
     (void)world.Submit(Job(10, 4'000, milliseconds{600}, false));
@@ -295,11 +295,11 @@
   const auto counts = [&] { return world.Leader().Counts(world.Now()); };
   const auto waiting_steps = counts().waiting_tasks / 10;
   const auto attempts_before = counts().placement_attempts;
-  const auto starts_before = world.Starts();
+  const auto starts_before = world.StartCount();
   constexpr seconds kMeasured{2};
   world.Run(kMeasured);
   const auto attempts = static_cast<double>(counts().placement_attempts - attempts_before);
-  const auto freed = static_cast<double>(world.Starts() - starts_before);
+  const auto freed = static_cast<double>(world.StartCount() - starts_before);
   // Each waiting step is retried periodically, and each ended run causes attempts only for the
   // steps that may run on its worker.
   constexpr double kRetriesPerSecond = 20;
@@ -308,7 +308,7 @@
   CHECK(waiting > 100);
   CHECK(attempts <
         2 * waiting * kRetriesPerSecond * kMeasured.count() + 2 * freed * waiting * kAllowedShare);
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
 }
 
 /// Shares of quick jobs in time, at a cell whose leader has a share of a processor for 12 s and a
@@ -322,11 +322,11 @@
 slowed_result SlowedLeader(double processor, const scheduler_settings& settings = {}) {
   constexpr std::size_t kManyWorkers = 100;
   constexpr milliseconds kPause{10};
-  world_shape shape;
+  world_options options;
   // These costs add up to three fifths of a processor under this load.
-  shape.cost = {std::chrono::microseconds{200}, std::chrono::microseconds{200},
-                std::chrono::microseconds{300}};
-  cell_world world{17, {}, kManyWorkers, settings, shape};
+  options.cost = {std::chrono::microseconds{200}, std::chrono::microseconds{200},
+                  std::chrono::microseconds{300}};
+  cell_world world{17, {}, kManyWorkers, settings, options};
   world.Run(seconds{1});
   const auto submit_for = [&](seconds span) {
     submitted_jobs jobs;
@@ -337,13 +337,13 @@
     return jobs;
   };
   const auto before = submit_for(seconds{6});
-  world.SetProcessor(processor);
+  world.SetLeaderProcessorShare(processor);
   const auto slowed = submit_for(seconds{12});
-  world.SetProcessor(1.0);
+  world.SetLeaderProcessorShare(1.0);
   (void)submit_for(seconds{2});
   const auto after = submit_for(seconds{6});
   world.Run(seconds{60});
-  CHECK(world.Broken().empty());
+  CHECK(world.Violations().empty());
   const auto in_time = [&](const submitted_jobs& jobs) {
     return jobs.InTime(world, milliseconds{300}, milliseconds{400});
   };
--- a/test/rosearch/sched/random_days_test.cc
+++ b/test/rosearch/sched/random_days_test.cc
@@ -61,15 +61,15 @@
     }
     world.Run(milliseconds{random.Between(20, 350)});
   }
-  world.Calm();
+  world.ClearFaults();
   world.Run(seconds{90});
-  for (const auto& violation : world.Broken()) {
+  for (const auto& violation : world.Violations()) {
     FAIL_CHECK(violation);
   }
   for (const auto& id : world.Unfinished()) {
     FAIL_CHECK("job did not end: " << id);
   }
-  CHECK(world.Starts() > 100);
+  CHECK(world.StartCount() > 100);
 }
 
 }  // namespace
@@ -85,8 +85,8 @@
 TEST_CASE("lost answers and late orders never make a task run twice") {
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     world_faults faults;
-    faults.answer_lost = 0.08;
-    faults.order_late = 0.05;
+    faults.order_answer_lost = 0.08;
+    faults.order_delayed = 0.05;
     faults.run_fails = 0.05;
     RunRandomLoad(seed, faults);
   }
@@ -98,7 +98,7 @@
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     world_faults faults;
     faults.store_refuses = 0.15;
-    faults.store_silent = 0.1;
+    faults.store_answer_lost = 0.1;
     faults.store_drops = 0.1;
     faults.run_fails = 0.03;
     RunRandomLoad(seed, faults);
@@ -112,9 +112,9 @@
   for (std::uint64_t seed = 1; seed <= 16; ++seed) {
     world_faults faults;
     faults.leader_dies = 0.08;
-    faults.worker_cut = 0.01;
-    faults.worker_dies = 0.005;
-    faults.answer_lost = 0.03;
+    faults.worker_unreachable = 0.01;
+    faults.worker_restarts = 0.005;
+    faults.order_answer_lost = 0.03;
     faults.run_fails = 0.1;
     RunRandomLoad(seed, faults);
   }
@@ -125,7 +125,7 @@
 TEST_CASE("lost advice answers keep no job waiting forever") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     world_faults faults;
-    faults.advice_lost = 0.25;
+    faults.advice_answer_lost = 0.25;
     faults.run_fails = 0.05;
     RunRandomLoad(seed, faults);
   }
@@ -137,13 +137,13 @@
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     world_faults faults;
     faults.leader_dies = 0.04;
-    faults.worker_cut = 0.01;
-    faults.worker_dies = 0.005;
-    faults.answer_lost = 0.04;
-    faults.order_late = 0.03;
+    faults.worker_unreachable = 0.01;
+    faults.worker_restarts = 0.005;
+    faults.order_answer_lost = 0.04;
+    faults.order_delayed = 0.03;
     faults.run_fails = 0.08;
     faults.store_refuses = 0.05;
-    faults.store_silent = 0.04;
+    faults.store_answer_lost = 0.04;
     faults.store_drops = 0.04;
     RunRandomLoad(seed, faults);
   }
--- a/test/rosearch/sched/scheduler_test.cc
+++ b/test/rosearch/sched/scheduler_test.cc
@@ -94,7 +94,7 @@
 
   std::string workers_record;                ///< newest that was stored
   std::map<std::string, std::string> saved;  ///< newest record per key, see `SaveRecords`
-  kept_log log;
+  recording_sink log;
   instant now{time_point{seconds{1'000}}, 1'000'000};
   sched::scheduler leader;
   std::vector<stop_order> stops;
@@ -135,7 +135,7 @@
   }
 
   instant now;
-  kept_log log;
+  recording_sink log;
   scheduler leader;
 };
 
@@ -376,7 +376,7 @@
   auto records = first.Store();
   scheduler_fixture workers_known;
   (void)workers_known.Submit("x", 1);
-  kept_log log;
+  recording_sink log;
   scheduler next{scheduler_settings{}, 2, log};
   next.Configure(first.leader.configuration(), first.now);
   CHECK(next.Restore(records.at(0), first.now));
