--- a/src/rosearch/cell/cell_settings.cc
+++ b/src/rosearch/cell/cell_settings.cc
@@ -149,10 +149,10 @@
     scheduler.off.Add(*which);
   }
   if (!scheduler.Uses(sched::mechanism::kBatchesBeside)) {
-    settings.leading.batches = 1;
+    settings.leading.max_batches_in_flight = 1;
   }
   if (!scheduler.Uses(sched::mechanism::kEarlyElection)) {
-    settings.electing.broken_after = settings.electing.suspect_after;
+    settings.electing.connection_loss_timeout = settings.electing.suspect_timeout;
   }
   scheduler.restore = in.Milliseconds("restore_ms", scheduler.restore);
   if (!in.first_error().empty()) {
--- a/src/rosearch/cell/election.h
+++ b/src/rosearch/cell/election.h
@@ -24,27 +24,28 @@
 struct election_settings {
   /// Timeout after which a silent leader is suspected of having failed. Three pings are missed by
   /// then; a leader at a fifth of its speed still answers in time, and peers are asked as well.
-  duration suspect_after{std::chrono::milliseconds{600}};
-  /// Silence after which the peers are asked, so that their answers arrive before `suspect_after`.
-  duration doubt_after{std::chrono::milliseconds{350}};
+  duration suspect_timeout{std::chrono::milliseconds{600}};
+  /// Silence after which the peers are asked, so that their answers arrive before
+  /// `suspect_timeout`.
+  duration ask_peers_timeout{std::chrono::milliseconds{350}};
   /// Timeout after which a leader is suspected when its connection was lost. A live leader answers
   /// a repeated ping within this time, and some peer reports it far sooner.
-  duration broken_after{std::chrono::milliseconds{150}};
+  duration connection_loss_timeout{std::chrono::milliseconds{150}};
   /// Delay of a process with little processor time, so that larger ones claim first.
-  duration small_waits{std::chrono::milliseconds{500}};
+  duration small_process_delay{std::chrono::milliseconds{500}};
   /// A process whose timers fire later than this also receives other processes' messages late.
-  duration late_after{std::chrono::milliseconds{100}};
-  /// Period after such a late timer in which this process delays its claim by `late_waits`. It
-  /// might otherwise replace a live leader, and lead more slowly.
-  duration late_for{std::chrono::milliseconds{2'000}};
-  duration late_waits{std::chrono::milliseconds{1'200}};
+  duration lateness_threshold{std::chrono::milliseconds{100}};
+  /// Period after such a late timer in which this process delays its claim by `late_process_delay`.
+  /// It might otherwise replace a live leader, and lead more slowly.
+  duration late_period{std::chrono::milliseconds{2'000}};
+  duration late_process_delay{std::chrono::milliseconds{1'200}};
   /// Maximum random delay, so that processes do not all claim at once.
-  duration spread{std::chrono::milliseconds{25}};
+  duration max_jitter{std::chrono::milliseconds{25}};
   /// Delay of a process that has run for about 15 minutes; a younger one waits less. In a rolling
   /// restart, the youngest process is the one least likely to be restarted again.
-  duration old_waits{std::chrono::milliseconds{100}};
+  duration max_age_delay{std::chrono::milliseconds{100}};
   /// Delay before an unanswered claim is looked up and retried.
-  duration claim_again{std::chrono::milliseconds{400}};
+  duration claim_retry_interval{std::chrono::milliseconds{400}};
 
   friend bool operator==(const election_settings&, const election_settings&) = default;
 };
@@ -62,9 +63,9 @@
 
   /// Records that the claim log was read to its end.
   void OnClaimsRead(time_point now) {
-    read_ = true;
-    if (known_.epoch == 0 && quiet_since_ == time_point{}) {
-      quiet_since_ = now;
+    claims_read_ = true;
+    if (known_.epoch == 0 && silent_since_ == time_point{}) {
+      silent_since_ = now;
     }
   }
   /// Records a claim that was read from the log or reported by a peer. Ignores a claim that is not
@@ -72,13 +73,13 @@
   /// @return whether the claim is newer.
   bool OnLeadership(const leadership& claimed, time_point now);
   /// Records an answer of the leader.
-  void OnHeard(std::uint64_t epoch, time_point now);
+  void OnLeaderAnswer(std::uint64_t epoch, time_point now);
   /// Records that the connection to the leader was lost, as happens when its process is killed.
   void OnConnectionBroken(time_point now);
   /// Records how late a timer of this process fired.
-  void OnOwnDelay(duration delay, time_point now) {
-    if (delay >= settings_.late_after) {
-      late_until_ = now + settings_.late_for;
+  void OnTimerDelay(duration delay, time_point now) {
+    if (delay >= settings_.lateness_threshold) {
+      late_until_ = now + settings_.late_period;
     }
   }
   /// Records that the leader announced its stop, or that its host refused the connection.
@@ -86,43 +87,45 @@
   /// @return whether the leader is known to be stopping, so that peers need not be asked.
   [[nodiscard]] bool Leaving() const { return leaving_; }
   /// Records that a claim was sent.
-  void OnClaimSent(time_point now) { claim_again_at_ = now + settings_.claim_again; }
+  void OnClaimSent(time_point now) { claim_retry_at_ = now + settings_.claim_retry_interval; }
   /// Records that a peer received an answer of the leader and has not lost the connection since.
   /// @param at  when the peer last received one. Using the time of the peer's report instead would
   ///            delay the detection of a failed leader.
-  void OnPeerHeard(time_point at);
+  void OnPeerReport(time_point at);
 
   /// @return whether the leader has been silent for long enough to ask the peers.
-  [[nodiscard]] bool Doubts(time_point now) const;
+  [[nodiscard]] bool ShouldAskPeers(time_point now) const;
   /// @return whether this process should claim leadership now.
   [[nodiscard]] bool ShouldClaim(time_point now) const;
   /// @return whether the leader's last answer is recent and the leader is not stopping.
-  [[nodiscard]] bool Hears(time_point now) const;
+  [[nodiscard]] bool HasActiveLeader(time_point now) const;
   /// @return whether the leader's last answer is recent and its connection intact. A stopping
   /// leader counts, since it leads until another process has claimed.
-  [[nodiscard]] bool Reaches(time_point now) const;
+  [[nodiscard]] bool LeaderReachable(time_point now) const;
 
-  [[nodiscard]] const leadership& Known() const { return known_; }
+  [[nodiscard]] const leadership& KnownLeader() const { return known_; }
   /// @return when the leader last answered.
-  [[nodiscard]] time_point HeardAt() const { return heard_at_; }
+  [[nodiscard]] time_point LastAnswerAt() const { return last_answer_at_; }
 
  private:
-  [[nodiscard]] duration OwnDelay(time_point now) const;
+  [[nodiscard]] duration ClaimDelay(time_point now) const;
   /// @return the additional delay of a small process before it asks peers or claims, so that large
   ///         processes do so first.
-  [[nodiscard]] duration Patience() const { return small_ ? settings_.small_waits : duration{}; }
+  [[nodiscard]] duration SmallProcessDelay() const {
+    return small_ ? settings_.small_process_delay : duration{};
+  }
 
   election_settings settings_;
   bool small_;
   double jitter_;
   time_point began_;
   leadership known_;
-  bool read_{false};
+  bool claims_read_{false};
   bool leaving_{false};
-  time_point heard_at_{};
-  time_point quiet_since_{};
-  time_point broken_at_{};  ///< unset while the connection to the leader is intact
-  time_point claim_again_at_{};
+  time_point last_answer_at_{};
+  time_point silent_since_{};
+  time_point connection_lost_at_{};  ///< unset while the connection to the leader is intact
+  time_point claim_retry_at_{};
   time_point late_until_{};  ///< this process counts as slow until then
 };
 
--- a/src/rosearch/cell/internal/leader_callers.h
+++ b/src/rosearch/cell/internal/leader_callers.h
@@ -8,7 +8,7 @@
 namespace rosearch::cell {
 
 template <typename Ports>
-void leader<Ports>::Settle() {
+void leader<Ports>::AnswerSettledCallers() {
   for (const auto& settled : scheduler_.TakeSettled()) {
     const auto found = callers_.find(settled.id);
     if (found == callers_.end()) {
@@ -88,7 +88,7 @@
   // A job whose record may be stored must not be answered as refused, not even on a retry: the
   // caller waits until the outcome of the append is known.
   const bool known = scheduler_.IsPending(id) || scheduler_.Phase(id, queue).has_value();
-  if (!known && StoreAway()) {
+  if (!known && StoreUnavailable()) {
     log_.Write(event_line{"job_refused", event_weight::kFailure}
                    .Add("job", id)
                    .Add("reason", "store_away")
@@ -104,7 +104,7 @@
     RefuseJob(verdict.reason, {429, {}, static_cast<std::uint32_t>(seconds), false}, answer);
   } else {
     callers_[id].push_back({std::move(answer), answer_by, false});
-    PumpSoon();
+    PostPump();
   }
 }
 
@@ -124,7 +124,7 @@
     answer({404, {}, 0, false});
     return;
   }
-  const auto answer_by = SteadyNow() + std::min(time_left, settings_.caller_patience);
+  const auto answer_by = SteadyNow() + std::min(time_left, settings_.caller_timeout);
   const auto queue = rules->Key();
   const auto id = request.path.substr(rules->path_prefix.size());
   if (id.empty() && request.method == "GET") {
@@ -144,7 +144,7 @@
     return;
   }
   const bool unknown = !scheduler_.Phase(id, queue).has_value();
-  if (unknown && !KnowsAllJobs()) {
+  if (unknown && !AllJobsKnown()) {
     answer(Unavailable(1));  // a newer leader may know the job
     return;
   }
@@ -166,7 +166,7 @@
       return;
     case sched::cancel_verdict::kPending:
       callers_[id].push_back({std::move(answer), answer_by, true});
-      PumpSoon();
+      PostPump();
       return;
   }
 }
--- a/src/rosearch/cell/internal/leader_inputs.h
+++ b/src/rosearch/cell/internal/leader_inputs.h
@@ -8,7 +8,7 @@
 namespace rosearch::cell {
 
 template <typename Ports>
-void leader<Ports>::TakeConfiguration(const sched::stored_record& record) {
+void leader<Ports>::ApplyConfiguration(const sched::stored_record& record) {
   if (record.key != Ports::ConfigurationKey() || record.value.empty()) {
     return;
   }
@@ -21,27 +21,27 @@
   scheduler_.Configure(std::move(*read), Now());
   metrics_.Set("rosearch_configuration_version",
                static_cast<double>(scheduler_.configuration().version));
-  PumpSoon();
+  PostPump();
 }
 
 template <typename Ports>
 void leader<Ports>::FollowConfiguration() {
-  ports_.Read(stream::kConfiguration, configuration_next_, settings_.configuration_wait,
+  ports_.Read(stream::kConfiguration, configuration_next_, settings_.configuration_poll_timeout,
               Bind([](leader& self, result<log_page> page) {
                 if (page.has_error()) {
-                  self.NoteStore(false);
-                  self.After(self.configuration_timer_, self.settings_.store_retry,
+                  self.RecordStoreAnswer(false);
+                  self.After(self.configuration_timer_, self.settings_.store_retry_interval,
                              [](leader& retrying) { retrying.FollowConfiguration(); });
                   return;
                 }
-                self.NoteStore(true);
+                self.RecordStoreAnswer(true);
                 if (page.value().trimmed) {
                   self.ReadConfiguration({});
                   return;
                 }
                 for (const auto& bytes : page.value().records) {
                   if (const auto record = SplitKeyed(bytes)) {
-                    self.TakeConfiguration(*record);
+                    self.ApplyConfiguration(*record);
                   }
                 }
                 self.configuration_next_ = page.value().next;
@@ -50,7 +50,8 @@
 }
 
 template <typename Ports>
-void leader<Ports>::TakeWorker(const sched::stored_record& record, std::set<std::string>* seen) {
+void leader<Ports>::ApplyWorkerRecord(const sched::stored_record& record,
+                                      std::set<std::string>* seen) {
   auto facts = record.value.empty() ? std::nullopt : Ports::DecodeWorker(record.key, record.value);
   const auto& pools = scheduler_.configuration().pools;
   const bool usable =
@@ -58,31 +59,31 @@
   if (!usable) {
     // The worker was removed, its record is unreadable, or its pool is not configured in this
     // cell: it must not get work.
-    Unlist(record.key);
+    RemoveWorker(record.key);
     return;
   }
   if (seen != nullptr) {
     seen->insert(record.key);
   }
-  unlisting_.erase(record.key);
+  pending_removals_.erase(record.key);
   scheduler_.ObserveWorker(*facts, Now());
 }
 
 template <typename Ports>
-void leader<Ports>::Unlist(const std::string& id) {
+void leader<Ports>::RemoveWorker(const std::string& id) {
   const bool store_was_away =
       store_failed_at_ != time_point{} &&
-      SteadyNow() - store_failed_at_ < settings_.registry_grace + std::chrono::seconds{4};
+      SteadyNow() - store_failed_at_ < settings_.registry_grace_period + std::chrono::seconds{4};
   if (store_was_away) {
-    unlisting_.try_emplace(id, SteadyNow() + settings_.registry_grace);
+    pending_removals_.try_emplace(id, SteadyNow() + settings_.registry_grace_period);
   } else {
     scheduler_.UnlistWorker(id, Now());
   }
 }
 
 template <typename Ports>
-void leader<Ports>::UnlistOverdue() {
-  std::erase_if(unlisting_, [this](const auto& each) {
+void leader<Ports>::RemoveOverdueWorkers() {
+  std::erase_if(pending_removals_, [this](const auto& each) {
     const bool overdue = store_reached_ && SteadyNow() >= each.second;
     if (overdue) {
       scheduler_.UnlistWorker(each.first, Now());
@@ -93,27 +94,27 @@
 
 template <typename Ports>
 void leader<Ports>::FollowRegistry() {
-  After(registry_timer_, settings_.registry_every, [](leader& self) {
+  After(registry_timer_, settings_.registry_read_interval, [](leader& self) {
     self.ports_.Read(stream::kWorkers, self.registry_next_, duration{},
                      self.Bind([](leader& following, result<log_page> page) {
                        if (page.has_error()) {
-                         following.NoteStore(false);
+                         following.RecordStoreAnswer(false);
                          following.FollowRegistry();
                          return;
                        }
-                       following.NoteStore(true);
+                       following.RecordStoreAnswer(true);
                        if (page.value().trimmed) {
                          following.ReadWorkers({}, false);
                          return;
                        }
                        for (const auto& bytes : page.value().records) {
                          if (const auto record = SplitKeyed(bytes)) {
-                           following.TakeWorker(*record, nullptr);
+                           following.ApplyWorkerRecord(*record, nullptr);
                          }
                        }
                        following.registry_next_ = page.value().next;
-                       following.WatchAll();
-                       following.PumpSoon();
+                       following.WatchNewWorkers();
+                       following.PostPump();
                        following.FollowRegistry();
                      }));
   });
--- a/src/rosearch/cell/internal/leader_orders.h
+++ b/src/rosearch/cell/internal/leader_orders.h
@@ -11,7 +11,7 @@
 void leader<Ports>::NoteDelay(duration delay) {
   scheduler_.NoteDelay(delay);
   metrics_.Observe("rosearch_loop_delay_seconds", delay);
-  const bool late = delay > settings_.late_after;
+  const bool late = delay > settings_.lateness_threshold;
   if (std::exchange(late_, late) != late) {
     log_.Write(event_line{late ? "leader_late" : "leader_prompt", event_weight::kBelief}
                    .Add("epoch", epoch_)
@@ -20,25 +20,26 @@
 }
 
 template <typename Ports>
-void leader<Ports>::TickLater() {
-  After(tick_timer_, settings_.tick, [due = SteadyNow() + settings_.tick](leader& self) {
-    self.NoticeStandstill();
-    self.NoteDelay(SteadyNow() - due);
-    const auto now = Now();
-    self.scheduler_.Tick(now);
-    self.UnlistOverdue();
-    self.ExpireCallers();
-    self.ProbeStore();
-    self.NoteTimings();
-    self.Pump();
-    if (!self.over_) {
-      self.TickLater();
-    }
-  });
+void leader<Ports>::ScheduleTick() {
+  After(tick_timer_, settings_.tick_interval,
+        [due = SteadyNow() + settings_.tick_interval](leader& self) {
+          self.DetectProcessPause();
+          self.NoteDelay(SteadyNow() - due);
+          const auto now = Now();
+          self.scheduler_.Tick(now);
+          self.RemoveOverdueWorkers();
+          self.ExpireCallers();
+          self.ProbeStore();
+          self.RecordTimings();
+          self.Pump();
+          if (!self.ended_) {
+            self.ScheduleTick();
+          }
+        });
 }
 
 template <typename Ports>
-void leader<Ports>::PumpSoon() {
+void leader<Ports>::PostPump() {
   if (std::exchange(pump_posted_, true)) {
     return;
   }
@@ -50,7 +51,7 @@
 
 template <typename Ports>
 void leader<Ports>::Pump() {
-  if (over_ || !serving_) {
+  if (ended_ || !serving_) {
     return;
   }
   if (scheduler_.Deposed()) {
@@ -59,17 +60,17 @@
   }
   SchedulePass();
   for (auto& decided : scheduler_.TakeOrders()) {
-    CarryOut(std::move(decided));
+    ExecuteOrder(std::move(decided));
   }
   AskForAdvice();
-  Settle();
+  AnswerSettledCallers();
   for (const auto& worker : scheduler_.TakeAcked()) {
     const auto timer = watches_.find(worker);
     if (timer != watches_.end()) {
       timer->second->cancel();
     }
   }
-  Store();
+  StoreRecords();
   if (resigning_ && batches_.empty() && !scheduler_.HasRecords()) {
     End("resigned");
   }
@@ -81,21 +82,21 @@
     return;
   }
   const auto now = SteadyNow();
-  const auto pause = std::max(settings_.pass, scheduler_.ExtraPassDelay());
-  if (now - passed_at_ >= pause) {
-    passed_at_ = now;
+  const auto pause = std::max(settings_.pass_interval, scheduler_.ExtraPassDelay());
+  if (now - last_pass_at_ >= pause) {
+    last_pass_at_ = now;
     scheduler_.Schedule(Now());
     return;
   }
   pass_pending_ = true;
-  After(pass_timer_, pause - (now - passed_at_), [](leader& self) {
+  After(pass_timer_, pause - (now - last_pass_at_), [](leader& self) {
     self.pass_pending_ = false;
     self.Pump();
   });
 }
 
 template <typename Ports>
-void leader<Ports>::CarryOut(sched::order&& decided) {
+void leader<Ports>::ExecuteOrder(sched::order&& decided) {
   std::visit([this](auto&& each) { Dispatch(std::move(each)); }, std::move(decided));
 }
 
@@ -112,7 +113,7 @@
                  self.scheduler_.OnStartAnswer(decided, outcome, Now());
                  if (outcome != sched::start_outcome::kStarted) {
                    self.metrics_.Count("rosearch_starts_refused_total");
-                   self.PumpSoon();
+                   self.PostPump();
                  }
                }));
 }
@@ -142,13 +143,13 @@
                     self.advice_.Done(asked.helper);
                     self.metrics_.Observe("rosearch_advice_seconds", SteadyNow() - asked_at);
                     self.scheduler_.OnAdvice(asked.query, allowed, Now());
-                    self.PumpSoon();
+                    self.PostPump();
                   }));
   }
 }
 
 template <typename Ports>
-void leader<Ports>::WatchAll() {
+void leader<Ports>::WatchNewWorkers() {
   const auto workers = scheduler_.WatchedWorkers();
   workers_ = workers.size();
   for (const auto& worker : workers) {
@@ -157,7 +158,7 @@
       unwatched_.push_back(worker);
     }
   }
-  WatchSome({});
+  WatchNextSlice({});
 }
 
 // Watches workers in slices: a new leader that contacted thousands of workers at once delayed
@@ -165,7 +166,7 @@
 // answered or timed out. If this call runs late, it first pauses for as long as it is late (up to
 // `kMaxPause`), which leaves at least half of an overloaded process's time to other work.
 template <typename Ports>
-void leader<Ports>::WatchSome(duration late) {
+void leader<Ports>::WatchNextSlice(duration late) {
   constexpr std::size_t kSliceSize = 50;
   constexpr duration kSliceTimeout =
       std::chrono::milliseconds{100};  // some workers may have failed
@@ -178,24 +179,24 @@
   const auto now = SteadyNow();
   const auto watch_later = [this, now](duration pause) {
     After(watch_timer_, pause,
-          [due = now + pause](leader& self) { self.WatchSome(SteadyNow() - due); });
+          [due = now + pause](leader& self) { self.WatchNextSlice(SteadyNow() - due); });
   };
-  if (late > kMaxLateness && !std::exchange(rested_, true)) {
+  if (late > kMaxLateness && !std::exchange(paused_before_slice_, true)) {
     watch_later(std::min(late, kMaxPause));
     return;
   }
   const auto pause = hooks_.watch_pause();
-  if (slice_.size() > kSliceSize / 2 && now - slice_at_ < kSliceTimeout) {
+  if (unanswered_slice_.size() > kSliceSize / 2 && now - slice_watched_at_ < kSliceTimeout) {
     watch_later(std::max(pause, kRetryInterval));
     return;
   }
-  rested_ = false;
-  slice_.clear();
-  slice_at_ = now;
+  paused_before_slice_ = false;
+  unanswered_slice_.clear();
+  slice_watched_at_ = now;
   for (std::size_t count = 0; count < kSliceSize && !unwatched_.empty(); ++count) {
     const auto worker = std::move(unwatched_.front());
     unwatched_.pop_front();
-    slice_.insert(worker);
+    unanswered_slice_.insert(worker);
     Watch(worker);
   }
   watch_later(pause);
@@ -227,13 +228,13 @@
   }
   const auto sent_at = SteadyNow();
   ports_.Watch(*watch, epoch_, Bind([worker, sent_at](leader& self, const watch_answer& answer) {
-    self.slice_.erase(worker);
+    self.unanswered_slice_.erase(worker);
     if (answer.report) {
       self.scheduler_.OnReport(worker, sent_at, *answer.report, Now());
     } else {
       self.scheduler_.OnWatchFailed(worker, answer.failure, Now());
     }
-    self.PumpSoon();
+    self.PostPump();
     const auto pause = self.scheduler_.WatchDelay(worker, Now());
     if (pause > duration{}) {
       self.WatchAfter(worker, pause);
--- a/src/rosearch/cell/internal/leader_store.h
+++ b/src/rosearch/cell/internal/leader_store.h
@@ -8,7 +8,7 @@
 namespace rosearch::cell {
 
 template <typename Ports>
-void leader<Ports>::NoteStore(bool reached) {
+void leader<Ports>::RecordStoreAnswer(bool reached) {
   const auto now = SteadyNow();
   if (!reached) {
     store_failed_at_ = now;
@@ -18,22 +18,22 @@
   }
   store_reached_ = reached;
   log_.Write(event_line{reached ? "store_regained" : "store_lost", event_weight::kBelief}.Add(
-      "away_ms", reached ? now - store_away_since_ : duration{}));
-  store_away_since_ = now;
+      "away_ms", reached ? now - store_state_changed_at_ : duration{}));
+  store_state_changed_at_ = now;
 }
 
 template <typename Ports>
-bool leader<Ports>::StoreAway() const {
+bool leader<Ports>::StoreUnavailable() const {
   // The store counts as unavailable after a failed append or one that exceeds the timeout.
   constexpr int kSlowAppendFactor = 3;
-  const auto timeout = std::clamp(kSlowAppendFactor * usual_append_, settings_.store_patience,
-                                  settings_.longest_store_patience);
+  const auto timeout = std::clamp(kSlowAppendFactor * smoothed_append_time_,
+                                  settings_.min_store_timeout, settings_.max_store_timeout);
   return !batches_.empty() &&
          (batches_.front().failures > 0 || SteadyNow() - batches_.front().sent_at > timeout);
 }
 
 template <typename Ports>
-void leader<Ports>::Store() {
+void leader<Ports>::StoreRecords() {
   const auto now = SteadyNow();
   if (!scheduler_.HasRecords() || !MayAct()) {
     return;
@@ -43,33 +43,36 @@
     // The store accepts any sequence number as the first of an epoch: a batch that arrived before
     // the first one would cause that one to be refused permanently.
     const bool may_overlap = first_stored_ && scheduler_.HasUrgentRecords() &&
-                             batches_.size() < settings_.batches && batches_.front().failures == 0;
+                             batches_.size() < settings_.max_batches_in_flight &&
+                             batches_.front().failures == 0;
     if (!may_overlap) {
       return;  // checked again when an answer arrives
     }
-    const auto spacing = std::max<duration>(settings_.batch_answer,
-                                            usual_append_ / static_cast<int>(settings_.batches));
+    const auto spacing = std::max<duration>(
+        settings_.min_batch_interval,
+        smoothed_append_time_ / static_cast<int>(settings_.max_batches_in_flight));
     if (now - newest.sent_at < spacing) {
-      After(writer_timer_, spacing - (now - newest.sent_at), [](leader& self) { self.Store(); });
+      After(writer_timer_, spacing - (now - newest.sent_at),
+            [](leader& self) { self.StoreRecords(); });
       return;
     }
   }
-  if (collect_since_ == time_point{}) {
-    collect_since_ = now;
+  if (collecting_since_ == time_point{}) {
+    collecting_since_ = now;
   }
-  const auto due = collect_since_ + settings_.collect;
+  const auto due = collecting_since_ + settings_.max_collect_delay;
   if (!scheduler_.HasUrgentRecords() && !resigning_ && now < due) {
-    After(writer_timer_, due - now, [](leader& self) { self.Store(); });
+    After(writer_timer_, due - now, [](leader& self) { self.StoreRecords(); });
     return;
   }
-  collect_since_ = time_point{};
+  collecting_since_ = time_point{};
   auto taken = scheduler_.TakeBatch();
   if (taken.records.empty()) {
     scheduler_.OnStored(taken.number, Now());
-    PumpSoon();
+    PostPump();
     return;
   }
-  batch_under_way batch{taken.number, sequence_++, {}, now};
+  batch_in_flight batch{taken.number, next_sequence_++, {}, now};
   for (const auto& record : taken.records) {
     batch.records.push_back(JoinKeyed(record));
   }
@@ -78,21 +81,21 @@
 }
 
 template <typename Ports>
-void leader<Ports>::SendBatch(const batch_under_way& batch) {
+void leader<Ports>::SendBatch(const batch_in_flight& batch) {
   const auto asked_at = SteadyNow();
   ports_.Append(stream::kState, batch.records, writer_proof{"scheduler", epoch_, batch.sequence},
                 std::nullopt,
                 Bind([asked_at, number = batch.number](leader& self, const append_answer& answer) {
                   if (answer.outcome == append_outcome::kStored) {
-                    self.OnProof(asked_at);
+                    self.ConfirmLeadership(asked_at);
                   }
                   self.OnBatchAnswer(number, answer);
                 }));
 }
 
 template <typename Ports>
-void leader<Ports>::SendAgain() {
-  sent_again_at_ = SteadyNow();
+void leader<Ports>::ResendBatches() {
+  resent_at_ = SteadyNow();
   // In sequence: the store accepts a batch only after its predecessor.
   for (const auto& batch : batches_) {
     if (!batch.stored) {
@@ -104,40 +107,40 @@
 template <typename Ports>
 void leader<Ports>::ProbeStore() {
   const auto now = SteadyNow();
-  if (!StoreAway() || now - probed_at_ < settings_.probe_every) {
+  if (!StoreUnavailable() || now - probed_at_ < settings_.store_probe_interval) {
     return;
   }
   probed_at_ = now;
-  TouchStore([](leader& self, time_point asked_at, bool stored) {
-    if (stored && self.sent_again_at_ < asked_at) {
-      self.SendAgain();
+  AppendNothing([](leader& self, time_point asked_at, bool stored) {
+    if (stored && self.resent_at_ < asked_at) {
+      self.ResendBatches();
     }
   });
 }
 
 template <typename Ports>
-void leader<Ports>::TakeStored() {
+void leader<Ports>::CompleteStoredBatches() {
   while (!batches_.empty() && batches_.front().stored) {
     const auto took = SteadyNow() - batches_.front().sent_at;
     metrics_.Observe("rosearch_append_seconds", took);
     if (batches_.front().failures == 0) {
-      usual_append_ += (took - usual_append_) / 4;
+      smoothed_append_time_ += (took - smoothed_append_time_) / 4;
     }
     const auto number = batches_.front().number;
     batches_.pop_front();
     first_stored_ = true;
     scheduler_.OnStored(number, Now());
   }
-  if (!batches_.empty() && std::exchange(batches_.front().came_early, false)) {
+  if (!batches_.empty() && std::exchange(batches_.front().out_of_order, false)) {
     SendBatch(batches_.front());
   }
-  NoteStore(true);
-  PumpSoon();
+  RecordStoreAnswer(true);
+  PostPump();
 }
 
 template <typename Ports>
 void leader<Ports>::OnBatchAnswer(std::uint64_t number, const append_answer& answer) {
-  const auto batch = std::ranges::find(batches_, number, &batch_under_way::number);
+  const auto batch = std::ranges::find(batches_, number, &batch_in_flight::number);
   if (batch == batches_.end() || batch->stored) {
     return;
   }
@@ -155,7 +158,7 @@
     for (auto each = batches_.begin(); each != std::next(batch); ++each) {
       each->stored = true;
     }
-    TakeStored();
+    CompleteStoredBatches();
     return;
   }
   if (answer.outcome == append_outcome::kFenced) {
@@ -163,19 +166,19 @@
     return;
   }
   if (answer.outcome == append_outcome::kOutOfSequence && batch != batches_.begin()) {
-    batch->came_early = true;
+    batch->out_of_order = true;
     return;
   }
-  NoteStore(false);
+  RecordStoreAnswer(false);
   metrics_.Count("rosearch_appends_failed_total");
   if (answer.outcome == append_outcome::kNotStored && !batch->may_be_stored &&
       batches_.size() == 1) {
     // Definitely not stored: callers are told at once that their jobs were not accepted.
     batches_.clear();
-    --sequence_;
+    --next_sequence_;
     scheduler_.OnNotStored(number);
-    Settle();
-    After(writer_timer_, settings_.store_retry, [](leader& self) { self.Store(); });
+    AnswerSettledCallers();
+    After(writer_timer_, settings_.store_retry_interval, [](leader& self) { self.StoreRecords(); });
     return;
   }
   // This batch or a later one may be stored. An append is idempotent for the same bytes and
@@ -183,8 +186,8 @@
   batch->may_be_stored = batch->may_be_stored || answer.outcome == append_outcome::kUnknown;
   ++batches_.front().failures;
   scheduler_.RefuseUnsentJobs();
-  Settle();
-  After(writer_timer_, settings_.store_retry, [](leader& self) { self.SendAgain(); });
+  AnswerSettledCallers();
+  After(writer_timer_, settings_.store_retry_interval, [](leader& self) { self.ResendBatches(); });
 }
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/internal/leader_takeover.h
+++ b/src/rosearch/cell/internal/leader_takeover.h
@@ -19,7 +19,7 @@
                   } else if (answer.outcome == append_outcome::kStored) {
                     self.ReadState({});
                   } else {
-                    self.After(self.writer_timer_, self.settings_.store_retry,
+                    self.After(self.writer_timer_, self.settings_.store_retry_interval,
                                [](leader& retrying) { retrying.Fence(); });
                   }
                 }));
@@ -29,7 +29,7 @@
 void leader<Ports>::ReadState(const std::string& after) {
   ports_.Newest(stream::kState, after, Bind([after](leader& self, result<newest_page> page) {
                   if (page.has_error()) {
-                    self.After(self.writer_timer_, self.settings_.store_retry,
+                    self.After(self.writer_timer_, self.settings_.store_retry_interval,
                                [after](leader& retrying) { retrying.ReadState(after); });
                     return;
                   }
@@ -41,7 +41,7 @@
                   }
                   if (page.value().continue_after.empty()) {
                     self.state_read_ = true;
-                    self.ServeOnceRead();
+                    self.ServeWhenRestored();
                   } else {
                     self.ReadState(page.value().continue_after);
                   }
@@ -53,12 +53,12 @@
   ports_.Newest(stream::kConfiguration, after,
                 Bind([after](leader& self, result<newest_page> page) {
                   if (page.has_error()) {
-                    self.After(self.configuration_timer_, self.settings_.store_retry,
+                    self.After(self.configuration_timer_, self.settings_.store_retry_interval,
                                [after](leader& retrying) { retrying.ReadConfiguration(after); });
                     return;
                   }
                   for (const auto& record : page.value().records) {
-                    self.TakeConfiguration(record);
+                    self.ApplyConfiguration(record);
                   }
                   self.configuration_next_ = page.value().end;
                   if (!page.value().continue_after.empty()) {
@@ -77,15 +77,15 @@
   ports_.Newest(
       stream::kWorkers, after, Bind([after, first](leader& self, result<newest_page> page) {
         if (page.has_error()) {
-          self.NoteStore(false);
-          self.After(self.registry_timer_, self.settings_.store_retry,
+          self.RecordStoreAnswer(false);
+          self.After(self.registry_timer_, self.settings_.store_retry_interval,
                      [after, first](leader& retrying) { retrying.ReadWorkers(after, first); });
           return;
         }
-        self.NoteStore(true);
+        self.RecordStoreAnswer(true);
         std::set<std::string> seen;
         for (const auto& record : page.value().records) {
-          self.TakeWorker(record, &seen);
+          self.ApplyWorkerRecord(record, &seen);
         }
         if (after.empty()) {
           self.registry_next_ = page.value().end;
@@ -94,7 +94,7 @@
         if (single_page) {
           for (const auto& id : self.scheduler_.WatchedWorkers()) {
             if (!seen.contains(id)) {
-              self.Unlist(id);
+              self.RemoveWorker(id);
             }
           }
         }
@@ -102,7 +102,7 @@
           self.ReadWorkers(page.value().continue_after, first);
         } else if (first) {
           self.workers_read_ = true;
-          self.ServeOnceRead();
+          self.ServeWhenRestored();
         } else {
           self.FollowRegistry();
         }
@@ -110,7 +110,7 @@
 }
 
 template <typename Ports>
-void leader<Ports>::ServeOnceRead() {
+void leader<Ports>::ServeWhenRestored() {
   if (!state_read_ || !workers_read_) {
     return;
   }
@@ -123,16 +123,16 @@
                  .Add("epoch", epoch_)
                  .Add("took_ms", took)
                  .Add("version", scheduler_.configuration().version));
-  WatchAll();
+  WatchNewWorkers();
   FollowConfiguration();
   FollowRegistry();
-  TickLater();
-  PumpSoon();
+  ScheduleTick();
+  PostPump();
 }
 
 template <typename Ports>
 void leader<Ports>::End(std::string_view cause) {
-  if (std::exchange(over_, true)) {
+  if (std::exchange(ended_, true)) {
     return;
   }
   log_.Write(event_line{"leader_ends", event_weight::kBelief}
@@ -161,7 +161,7 @@
 ///                   whether the store accepted the append.
 template <typename Ports>
 template <typename Callback>
-void leader<Ports>::TouchStore(Callback on_answer) {
+void leader<Ports>::AppendNothing(Callback on_answer) {
   const auto asked_at = SteadyNow();
   ports_.Append(
       stream::kState, {}, writer_proof{"scheduler", epoch_, 0}, std::nullopt,
@@ -172,20 +172,20 @@
         }
         const bool stored = answer.outcome == append_outcome::kStored;
         if (stored) {
-          self.OnProof(asked_at);
+          self.ConfirmLeadership(asked_at);
         }
         on_answer(self, asked_at, stored);
       }));
 }
 
 template <typename Ports>
-void leader<Ports>::Verify() {
+void leader<Ports>::VerifyLeadership() {
   if (std::exchange(verifying_, true)) {
     return;
   }
-  TouchStore([](leader& self, time_point, bool) {
+  AppendNothing([](leader& self, time_point, bool) {
     self.verifying_ = false;
-    self.PumpSoon();
+    self.PostPump();
   });
 }
 
--- a/src/rosearch/cell/internal/leader_views.h
+++ b/src/rosearch/cell/internal/leader_views.h
@@ -8,7 +8,7 @@
 namespace rosearch::cell {
 
 template <typename Ports>
-void leader<Ports>::NoteTimings() {
+void leader<Ports>::RecordTimings() {
   for (const auto& timing : scheduler_.TakeTimings()) {
     const auto priority = std::to_string(timing.priority);
     const auto phase = sched::PhaseName(timing.phase);
--- a/src/rosearch/cell/internal/node_callers.h
+++ b/src/rosearch/cell/internal/node_callers.h
@@ -71,14 +71,14 @@
   if (!call->unsure && now >= call->refuse_at) {
     log_.Write(LineAbout(*call, "call_refused", event_weight::kFailure)
                    .Add("reason", "no_leader")
-                   .Add("known_epoch", election_.Known().epoch));
+                   .Add("known_epoch", election_.KnownLeader().epoch));
     Finish(call, {503, {}, 1, false});
     return;
   }
   if (now >= call->answer_by) {
     // A leader may have accepted the job, so this is no refusal; the caller finds out by retrying.
     log_.Write(LineAbout(*call, "call_unanswered", event_weight::kFailure)
-                   .Add("known_epoch", election_.Known().epoch));
+                   .Add("known_epoch", election_.KnownLeader().epoch));
     Finish(call, {504, {}, 0, false});
     return;
   }
@@ -102,13 +102,13 @@
     leader_->Handle(call->request, time_left, on_answer);
     return;
   }
-  if (leader_ || election_.Known().epoch == 0 || time_left <= duration{} ||
-      !election_.Reaches(now)) {
+  if (leader_ || election_.KnownLeader().epoch == 0 || time_left <= duration{} ||
+      !election_.LeaderReachable(now)) {
     ForwardLater(call);
     return;
   }
   wire::peer_frame frame;
-  frame.set_epoch(election_.Known().epoch);
+  frame.set_epoch(election_.KnownLeader().epoch);
   auto& sent = *frame.mutable_call();
   sent.set_method(call->request.method);
   sent.set_host(call->request.host);
@@ -116,13 +116,14 @@
   sent.set_body(call->request.body);
   sent.set_time_left_ms(Millis(time_left));
   log_.Write(LineAbout(*call, "call_forwarded", event_weight::kDetail)
-                 .Add("leader", election_.Known().address)
-                 .Add("epoch", election_.Known().epoch)
-                 .Add("heard_ms_ago", now - election_.HeardAt())
+                 .Add("leader", election_.KnownLeader().address)
+                 .Add("epoch", election_.KnownLeader().epoch)
+                 .Add("heard_ms_ago", now - election_.LastAnswerAt())
                  .Add("left_ms", time_left));
   constexpr duration kAttemptTimeout = std::chrono::milliseconds{1'000};
   peers_.Ask(
-      election_.Known().address, std::move(frame), std::min(call->answer_by, now + kAttemptTimeout),
+      election_.KnownLeader().address, std::move(frame),
+      std::min(call->answer_by, now + kAttemptTimeout),
       [this, call, on_answer](const wire::peer_frame* answer) {
         if (answer == nullptr) {
           call->unsure = true;
@@ -141,7 +142,7 @@
   origin.set_from(frame.from());
   const auto reply = [this, origin](const caller_answer& answer) {
     wire::peer_frame sent;
-    sent.set_epoch(election_.Known().epoch);
+    sent.set_epoch(election_.KnownLeader().epoch);
     auto& body = *sent.mutable_answer();
     body.set_status(answer.status);
     body.set_body(answer.body);
--- a/src/rosearch/cell/internal/node_leadership.h
+++ b/src/rosearch/cell/internal/node_leadership.h
@@ -11,7 +11,7 @@
 void node<Ports>::Tick() {
   const auto now = SteadyNow();
   if (tick_due_ != time_point{}) {
-    election_.OnOwnDelay(now - tick_due_, now);
+    election_.OnTimerDelay(now - tick_due_, now);
   }
   if (!Leading() && now - pinged_at_ >= PingEvery(settings_.processor_milli)) {
     pinged_at_ = now;
@@ -23,17 +23,17 @@
       limits_ = leader_->configuration().limits;
       limits_known_ = leader_->configuration().version > 0;
     }
-    election_.OnHeard(leader_->epoch(), now);
+    election_.OnLeaderAnswer(leader_->epoch(), now);
     if (!stopping_) {
       Announce();
       PublishPingReply();
       OfferToLarger();
     }
-  } else if (!stopping_ && election_.Doubts(now)) {
+  } else if (!stopping_ && election_.ShouldAskPeers(now)) {
     ClaimIfNobodyLeads();
   }
   UpdatePeers();
-  TickAfter(!Leading() && election_.Doubts(now) ? kDoubtTick : kTick);
+  TickAfter(!Leading() && election_.ShouldAskPeers(now) ? kDoubtTick : kTick);
 }
 
 template <typename Ports>
@@ -49,13 +49,13 @@
 
 template <typename Ports>
 void node<Ports>::OnConnectionBroken(const std::string& peer) {
-  if (Leading() || stopping_ || peer != election_.Known().address) {
+  if (Leading() || stopping_ || peer != election_.KnownLeader().address) {
     return;
   }
   log_.Write(event_line{"leader_connection_broken", event_weight::kBelief}
-                 .Add("epoch", election_.Known().epoch)
+                 .Add("epoch", election_.KnownLeader().epoch)
                  .Add("leader", peer)
-                 .Add("heard_ms_ago", SteadyNow() - election_.HeardAt()));
+                 .Add("heard_ms_ago", SteadyNow() - election_.LastAnswerAt()));
   election_.OnConnectionBroken(SteadyNow());
   pinged_at_ = time_point{};
   Knock();
@@ -68,8 +68,8 @@
 /// timeout.
 template <typename Ports>
 void node<Ports>::Knock() {
-  const auto epoch = election_.Known().epoch;
-  const auto endpoint = ParseAddress(election_.Known().address);
+  const auto epoch = election_.KnownLeader().epoch;
+  const auto endpoint = ParseAddress(election_.KnownLeader().address);
   if (!endpoint) {
     return;
   }
@@ -83,12 +83,12 @@
       *endpoint, [this, epoch, socket, timer](const boost::system::error_code& failed) {
         timer->cancel();
         const bool refused = failed == boost::asio::error::connection_refused;
-        if (!refused || Leading() || stopping_ || epoch != election_.Known().epoch) {
+        if (!refused || Leading() || stopping_ || epoch != election_.KnownLeader().epoch) {
           return;
         }
         log_.Write(event_line{"leader_gone", event_weight::kBelief}
                        .Add("epoch", epoch)
-                       .Add("leader", election_.Known().address)
+                       .Add("leader", election_.KnownLeader().address)
                        .Add("cause", "connection_refused"));
         election_.OnLeaderLeaving(epoch);
         Tick();
@@ -250,13 +250,13 @@
     AnswerCall(frame);
   } else if (frame.has_query()) {
     wire::peer_frame answer;
-    answer.set_epoch(election_.Known().epoch);
+    answer.set_epoch(election_.KnownLeader().epoch);
     const auto now = SteadyNow();
-    const bool reaches_leader = election_.Hears(now) || Leading();
-    const auto ago = Leading() ? duration{} : now - election_.HeardAt();
+    const bool reaches_leader = election_.HasActiveLeader(now) || Leading();
+    const auto ago = Leading() ? duration{} : now - election_.LastAnswerAt();
     auto& view = *answer.mutable_view();
     view.set_heard(reaches_leader && !stopping_);
-    view.set_leader(election_.Known().address);
+    view.set_leader(election_.KnownLeader().address);
     view.set_heard_ms_ago(reaches_leader ? Millis(ago) : 0);
     peers_.Answer(frame, std::move(answer));
   } else if (frame.has_notice()) {
@@ -273,7 +273,7 @@
 
 template <typename Ports>
 void node<Ports>::AdoptLeadership(const leadership& claimed) {
-  const auto former = election_.Known().address;
+  const auto former = election_.KnownLeader().address;
   if (!election_.OnLeadership(claimed, SteadyNow())) {
     return;
   }
@@ -314,7 +314,7 @@
     }
     claims_read_at_ = SteadyNow();
     election_.OnClaimsRead(claims_read_at_);
-    if (election_.Known().epoch > 0 && !Leading()) {
+    if (election_.KnownLeader().epoch > 0 && !Leading()) {
       Knock();
     }
     FollowClaims();
@@ -344,7 +344,7 @@
     }
     claims_next_ = page.value().next;
     claims_read_at_ = SteadyNow();
-    if (leader_ && leader_->epoch() == election_.Known().epoch) {
+    if (leader_ && leader_->epoch() == election_.KnownLeader().epoch) {
       leader_->OnNoNewerClaim(asked_at);
     }
     FollowClaims();
@@ -361,7 +361,7 @@
   const leadership claimed{offset + 1, claim.member().address(), claim.member().name(),
                            claim.incarnation()};
   const bool own = claim.incarnation() == incarnation_ && claimed.address == peers_.address();
-  const bool is_newer = claimed.epoch > election_.Known().epoch;
+  const bool is_newer = claimed.epoch > election_.KnownLeader().epoch;
   AdoptLeadership(claimed);
   if (own && is_newer && !stopping_) {
     Lead(claimed.epoch);
@@ -378,7 +378,7 @@
 std::vector<std::string> node<Ports>::PeersToAsk() const {
   std::vector<std::string> others;
   for (const auto& [address, each] : members_) {
-    if (address != election_.Known().address) {
+    if (address != election_.KnownLeader().address) {
       others.push_back(address);
     }
   }
@@ -397,11 +397,11 @@
     asked_all_at_ = now;
     return;
   }
-  if (doubted_epoch_ != election_.Known().epoch) {
-    doubted_epoch_ = election_.Known().epoch;
+  if (doubted_epoch_ != election_.KnownLeader().epoch) {
+    doubted_epoch_ = election_.KnownLeader().epoch;
     log_.Write(event_line{"leader_doubted", event_weight::kBelief}
                    .Add("epoch", doubted_epoch_)
-                   .Add("heard_ms_ago", now - election_.HeardAt())
+                   .Add("heard_ms_ago", now - election_.LastAnswerAt())
                    .Add("asked", asked.size())
                    .Add("peers", members_.size()));
   }
@@ -409,15 +409,15 @@
   auto pending = std::make_shared<std::size_t>(asked.size());
   for (const auto& address : asked) {
     wire::peer_frame frame;
-    frame.set_epoch(election_.Known().epoch);
+    frame.set_epoch(election_.KnownLeader().epoch);
     frame.mutable_query();
     peers_.Ask(address, std::move(frame), now + kQueryPatience,
                [this, pending, now](const wire::peer_frame* answer) {
                  const bool reaches_leader = answer != nullptr && answer->view().heard() &&
-                                             answer->epoch() >= election_.Known().epoch;
+                                             answer->epoch() >= election_.KnownLeader().epoch;
                  if (reaches_leader) {
                    const std::chrono::milliseconds ago{answer->view().heard_ms_ago()};
-                   election_.OnPeerHeard(SteadyNow() - ago);
+                   election_.OnPeerReport(SteadyNow() - ago);
                  }
                  if (--*pending == 0) {
                    asking_peers_ = false;
@@ -440,7 +440,7 @@
   const auto bytes = claim.SerializeAsString();
   log_.Write(event_line{"leadership_claimed", event_weight::kBelief}
                  .Add("at", claims_next_)
-                 .Add("known_epoch", election_.Known().epoch)
+                 .Add("known_epoch", election_.KnownLeader().epoch)
                  .Add("peers", members_.size()));
   ports_.Append(stream::kClaims, {JoinKeyed({"leader", bytes})}, std::nullopt, claims_next_,
                 [this, bytes](const append_answer& answer) {
--- a/src/rosearch/cell/internal/node_pings.h
+++ b/src/rosearch/cell/internal/node_pings.h
@@ -10,14 +10,14 @@
 template <typename Ports>
 void node<Ports>::Ping() {
   std::vector<std::string> targets;
-  if (election_.Known().epoch > 0) {
-    targets.push_back(election_.Known().address);
+  if (election_.KnownLeader().epoch > 0) {
+    targets.push_back(election_.KnownLeader().address);
   } else {
     targets = seeds_;
   }
   for (const auto& target : targets) {
     wire::peer_frame frame;
-    frame.set_epoch(election_.Known().epoch);
+    frame.set_epoch(election_.KnownLeader().epoch);
     *frame.mutable_ping()->mutable_member() = Self();
     frame.mutable_ping()->set_members_version(members_version_);
     const auto asked_at = SteadyNow();
@@ -35,16 +35,16 @@
 void node<Ports>::OnPong(const wire::peer_frame& frame) {
   const auto& pong = frame.pong();
   const auto now = SteadyNow();
-  if (Leading() || frame.epoch() != election_.Known().epoch) {
+  if (Leading() || frame.epoch() != election_.KnownLeader().epoch) {
     return;
   }
   if (!pong.leading() || pong.resigning()) {
-    if (frame.from() == election_.Known().address) {
+    if (frame.from() == election_.KnownLeader().address) {
       election_.OnLeaderLeaving(frame.epoch());
     }
     return;
   }
-  election_.OnHeard(frame.epoch(), now);
+  election_.OnLeaderAnswer(frame.epoch(), now);
   heard_at_ = now;
   if (pong.members_size() > 0) {
     members_.clear();
@@ -67,7 +67,7 @@
 template <typename Ports>
 wire::peer_frame node<Ports>::Pong() const {
   wire::peer_frame frame;
-  frame.set_epoch(election_.Known().epoch);
+  frame.set_epoch(election_.KnownLeader().epoch);
   auto& pong = *frame.mutable_pong();
   pong.set_leading(leader_->Serving() || !stopping_);
   pong.set_resigning(stopping_);
@@ -97,7 +97,7 @@
 // sent by the transport's thread, so that it doesn't queue behind the event loop's work.
 template <typename Ports>
 void node<Ports>::PublishPingReply() {
-  if (leader_->epoch() != election_.Known().epoch) {
+  if (leader_->epoch() != election_.KnownLeader().epoch) {
     return;
   }
   const auto now = SteadyNow();
@@ -115,7 +115,7 @@
   const auto& ping = frame.ping();
   if (!Leading()) {
     wire::peer_frame answer;
-    answer.set_epoch(election_.Known().epoch);
+    answer.set_epoch(election_.KnownLeader().epoch);
     answer.mutable_pong()->set_leading(false);
     peers_.Answer(frame, std::move(answer));
     return;
@@ -124,7 +124,7 @@
   known->second = {ping.member(), SteadyNow(), true};
   members_version_ += inserted ? 1 : 0;
   if (frame.epoch() == leader_->epoch()) {
-    leader_->OnPeerSign();
+    leader_->OnPeerHeartbeat();
   }
   if (!peers_.RepliesTo(frame)) {
     peers_.Answer(frame, PongWithMembers());
--- a/src/rosearch/cell/internal/node_views.h
+++ b/src/rosearch/cell/internal/node_views.h
@@ -14,10 +14,11 @@
 
 template <typename Ports>
 std::string node<Ports>::Dump() const {
-  std::string text =
-      "name=" + settings_.name + " leading=" + (leader_ ? "1" : "0") +
-      " epoch=" + std::to_string(election_.Known().epoch) + " leader=" + election_.Known().address +
-      " leader_name=" + election_.Known().name + " peers=" + std::to_string(members_.size()) + '\n';
+  std::string text = "name=" + settings_.name + " leading=" + (leader_ ? "1" : "0") +
+                     " epoch=" + std::to_string(election_.KnownLeader().epoch) +
+                     " leader=" + election_.KnownLeader().address +
+                     " leader_name=" + election_.KnownLeader().name +
+                     " peers=" + std::to_string(members_.size()) + '\n';
   return leader_ ? text + leader_->Dump() : text;
 }
 
--- a/src/rosearch/cell/leader.h
+++ b/src/rosearch/cell/leader.h
@@ -35,51 +35,51 @@
   sched::scheduler_settings scheduler{};
   /// Minimum interval between two scheduling passes. At hundreds of starts per second each pass
   /// handles several ended runs; one pass per ended run would use most of the process's time.
-  duration pass{std::chrono::milliseconds{4}};
+  duration pass_interval{std::chrono::milliseconds{4}};
   /// Interval between checks of timers, such as leases and timeouts.
-  duration tick{std::chrono::milliseconds{50}};
+  duration tick_interval{std::chrono::milliseconds{50}};
   /// The process counts as overloaded when a tick fires later than this.
-  duration late_after{std::chrono::milliseconds{100}};
+  duration lateness_threshold{std::chrono::milliseconds{100}};
   /// Records that no caller waits for are held back this long, so that one append carries many.
-  duration collect{std::chrono::milliseconds{15}};
+  duration max_collect_delay{std::chrono::milliseconds{15}};
   /// Maximum number of batches in flight. With only one, a job would also wait for the preceding
   /// batch, both on acceptance and on completion, which matters when an append takes 250 ms.
-  std::size_t batches{4};
+  std::size_t max_batches_in_flight{4};
   /// Minimum interval between sending two batches; the interval is at least the usual append time
-  /// divided by `batches`. A fast store has answered by then, and a slow one, which handles batches
-  /// one at a time, isn't sent more than it can handle.
-  duration batch_answer{std::chrono::milliseconds{12}};
+  /// divided by `max_batches_in_flight`. A fast store has answered by then, and a slow one, which
+  /// handles batches one at a time, isn't sent more than it can handle.
+  duration min_batch_interval{std::chrono::milliseconds{12}};
   /// Delay before an unanswered or refused append is retried.
-  duration store_retry{std::chrono::milliseconds{100}};
+  duration store_retry_interval{std::chrono::milliseconds{100}};
   /// Interval between probes of an unavailable store. Pending calls time out only after seconds, so
   /// without probes its recovery would be noticed late.
-  duration probe_every{std::chrono::milliseconds{150}};
+  duration store_probe_interval{std::chrono::milliseconds{150}};
   /// Interval between two reads of the worker registry. A worker that announces its departure must
   /// get no new work after 2 s; this allows three attempts.
-  duration registry_every{std::chrono::milliseconds{450}};
+  duration registry_read_interval{std::chrono::milliseconds{450}};
   /// Long-poll timeout of a configuration read. Two reads fit into the time by which a published
   /// version must be in force.
-  duration configuration_wait{std::chrono::milliseconds{900}};
+  duration configuration_poll_timeout{std::chrono::milliseconds{900}};
   /// After a store outage, a worker missing from the registry is removed only after this period,
   /// because its entry may reappear.
-  duration registry_grace{std::chrono::milliseconds{2'600}};
+  duration registry_grace_period{std::chrono::milliseconds{2'600}};
   /// No orders are sent when leadership has not been confirmed for this long. It is shorter than
   /// `scheduler_settings::former_leader_send_margin` by the time that an order may take to arrive.
-  duration proof_life{std::chrono::milliseconds{1'500}};
+  duration leadership_proof_timeout{std::chrono::milliseconds{1'500}};
   /// Maximum age of the last read of the claim log at which a job that is missing here is answered
   /// as unknown. A read waits for up to 1 s; every process must know a job 3 s after its
   /// acceptance.
-  duration claims_known_for{std::chrono::milliseconds{2'500}};
+  duration max_claims_read_age{std::chrono::milliseconds{2'500}};
   /// A gap between ticks longer than this means that the process was paused.
-  duration standstill{std::chrono::milliseconds{400}};
+  duration pause_threshold{std::chrono::milliseconds{400}};
   /// New jobs are refused at once when an append has been unanswered for this long and for three
   /// times the usual append time.
-  duration store_patience{std::chrono::milliseconds{600}};
+  duration min_store_timeout{std::chrono::milliseconds{600}};
   /// Upper limit of the timeout derived from the usual append time. A caller that is refused by
   /// then can still retry in time.
-  duration longest_store_patience{std::chrono::milliseconds{1'500}};
+  duration max_store_timeout{std::chrono::milliseconds{1'500}};
   /// Timeout after which a caller that still waits for the store is answered with status 504.
-  duration caller_patience{std::chrono::milliseconds{2'500}};
+  duration caller_timeout{std::chrono::milliseconds{2'500}};
 
   friend bool operator==(const leader_settings&, const leader_settings&) = default;
 };
@@ -131,7 +131,7 @@
   }
 
   /// @return whether callers are served.
-  [[nodiscard]] bool Serving() const { return serving_ && !over_; }
+  [[nodiscard]] bool Serving() const { return serving_ && !ended_; }
   [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
   /// @return the number of known workers.
   [[nodiscard]] std::size_t Workers() const { return workers_; }
@@ -141,9 +141,9 @@
 
   /// Records that a process or the store, which would know of a newer leader, knows of none.
   /// @param asked_at  when the request was sent.
-  void OnProof(time_point asked_at) {
-    if (asked_at >= stood_still_at_) {
-      proof_at_ = std::max(proof_at_, SteadyNow());
+  void ConfirmLeadership(time_point asked_at) {
+    if (asked_at >= resumed_at_) {
+      confirmed_at_ = std::max(confirmed_at_, SteadyNow());
     }
   }
 
@@ -151,22 +151,22 @@
   /// @param asked_at  when the read was sent.
   void OnNoNewerClaim(time_point asked_at) {
     no_newer_claim_at_ = std::max(no_newer_claim_at_, asked_at);
-    OnProof(asked_at);
+    ConfirmLeadership(asked_at);
   }
 
   /// Records a peer's heartbeat that names this leadership. Heartbeats received while the process
   /// was paused are ignored, because they may be stale.
-  void OnPeerSign() {
+  void OnPeerHeartbeat() {
     constexpr duration kBacklog = std::chrono::milliseconds{250};
-    if (SteadyNow() - stood_still_at_ > kBacklog) {
-      OnProof(SteadyNow());
+    if (SteadyNow() - resumed_at_ > kBacklog) {
+      ConfirmLeadership(SteadyNow());
     }
   }
 
   /// Sets the processes that can query the advice service; an empty string names this process.
   void SetHelpers(const std::vector<std::string>& helpers) {
     advice_.SetHelpers(helpers);
-    PumpSoon();
+    PostPump();
   }
 
   /// Handles one caller's request.
@@ -175,7 +175,7 @@
   /// Stores pending decisions, then ends the leadership.
   void Resign() {
     resigning_ = true;
-    PumpSoon();
+    PostPump();
   }
 
   /// Ends the leadership at once.
@@ -196,13 +196,13 @@
     time_point answer_by;
     bool cancels{false};
   };
-  struct batch_under_way {
+  struct batch_in_flight {
     std::uint64_t number{0};
     std::uint64_t sequence{0};
     std::vector<std::string> records;
     time_point sent_at{};
     bool stored{false};
-    bool came_early{false};     ///< arrived before its predecessor: the store refused it
+    bool out_of_order{false};   ///< arrived before its predecessor: the store refused it
     bool may_be_stored{false};  ///< an attempt remained unanswered
     std::uint32_t failures{0};  ///< failed attempts
   };
@@ -222,71 +222,71 @@
   /// @return whether leadership was confirmed recently enough that no newer leader can have taken
   /// over. Without this check a process that was paused would send orders from stale state.
   [[nodiscard]] bool MayAct() {
-    NoticeStandstill();
-    return !over_ && SteadyNow() - proof_at_ < settings_.proof_life;
+    DetectProcessPause();
+    return !ended_ && SteadyNow() - confirmed_at_ < settings_.leadership_proof_timeout;
   }
   /// @return whether a job that is unknown here is unknown to every process. Peers' heartbeats
   /// don't count: a peer may still follow this leader after a newer one has accepted jobs.
-  [[nodiscard]] bool KnowsAllJobs() {
-    return MayAct() && SteadyNow() - no_newer_claim_at_ < settings_.claims_known_for;
+  [[nodiscard]] bool AllJobsKnown() {
+    return MayAct() && SteadyNow() - no_newer_claim_at_ < settings_.max_claims_read_age;
   }
-  void NoticeStandstill() {
+  void DetectProcessPause() {
     const auto now = Boottime();
-    if (now - last_tick_ > settings_.standstill) {
+    if (now - last_tick_ > settings_.pause_threshold) {
       log_.Write(event_line{"stood_still", event_weight::kBelief}.Add("for_ms", now - last_tick_));
-      stood_still_at_ = SteadyNow();
-      proof_at_ = time_point{};
-      Verify();
+      resumed_at_ = SteadyNow();
+      confirmed_at_ = time_point{};
+      VerifyLeadership();
     }
     last_tick_ = std::max(last_tick_, now);
   }
-  void Verify();
+  void VerifyLeadership();
   template <typename Callback>
-  void TouchStore(Callback on_answer);
+  void AppendNothing(Callback on_answer);
 
   void Fence();
   void ReadState(const std::string& after);
   void ReadConfiguration(const std::string& after);
   void ReadWorkers(const std::string& after, bool first);
-  void ServeOnceRead();
+  void ServeWhenRestored();
 
   void FollowConfiguration();
-  void TakeConfiguration(const sched::stored_record& record);
+  void ApplyConfiguration(const sched::stored_record& record);
   void FollowRegistry();
-  void TakeWorker(const sched::stored_record& record, std::set<std::string>* seen);
-  void Unlist(const std::string& id);
-  void UnlistOverdue();
+  void ApplyWorkerRecord(const sched::stored_record& record, std::set<std::string>* seen);
+  void RemoveWorker(const std::string& id);
+  void RemoveOverdueWorkers();
 
-  void TickLater();
+  void ScheduleTick();
   /// Records how late a tick fired, which is how long any event waits in this process.
   void NoteDelay(duration delay);
-  void PumpSoon();
+  void PostPump();
   void Pump();
   void SchedulePass();
-  void CarryOut(sched::order&& decided);
+  void ExecuteOrder(sched::order&& decided);
   void Dispatch(sched::start_order&& decided);
   void Dispatch(sched::stop_order&& decided);
   void Dispatch(sched::pace_order&& decided) { ports_.Pace(decided, epoch_); }
   void Dispatch(sched::advice_query&& decided) { advice_.Add(std::move(decided), SteadyNow()); }
   void AskForAdvice();
   void Watch(const std::string& worker);
-  void WatchAll();
+  void WatchNewWorkers();
   /// @param late  how late this call runs, which is how long any event waits in this process.
-  void WatchSome(duration late);
+  void WatchNextSlice(duration late);
   void WatchAfter(const std::string& worker, duration pause);
 
-  void Store();
-  void SendBatch(const batch_under_way& batch);
-  void SendAgain();
+  void StoreRecords();
+  void SendBatch(const batch_in_flight& batch);
+  void ResendBatches();
   void ProbeStore();
   void OnBatchAnswer(std::uint64_t number, const append_answer& answer);
-  void TakeStored();
-  void NoteStore(bool reached);
-  [[nodiscard]] bool StoreAway() const;
-  void Settle();
+  void CompleteStoredBatches();
+  void RecordStoreAnswer(bool reached);
+  [[nodiscard]] bool StoreUnavailable() const;
+  void AnswerSettledCallers();
   void ExpireCallers();
   void RefuseJob(std::string_view reason, const caller_answer& how, const respond& answer);
-  void NoteTimings();
+  void RecordTimings();
 
   void AnswerSubmit(const std::string& id, const std::string& queue, const std::string& body,
                     const sched::queue_rules& rules, time_point answer_by, respond answer);
@@ -297,7 +297,7 @@
   template <typename Callback>
   auto Bind(Callback callback) {
     return [self = this->shared_from_this(), callback = std::move(callback)](auto&&... args) {
-      if (!self->over_) {
+      if (!self->ended_) {
         callback(*self, std::forward<decltype(args)>(args)...);
       }
     };
@@ -330,36 +330,36 @@
   boost::asio::steady_timer watch_timer_;
   std::map<std::string, std::unique_ptr<boost::asio::steady_timer>> watches_;  ///< by worker
   std::unordered_map<std::string, std::vector<waiting_caller>> callers_;       ///< by job
-  std::map<std::string, time_point> unlisting_;  ///< workers to remove, by deadline
-  std::deque<batch_under_way> batches_;          ///< oldest first
-  std::deque<std::string> unwatched_;            ///< workers still to be watched
-  std::set<std::string> slice_;  ///< workers of the last slice that have not answered
-  time_point slice_at_{};        ///< when that slice was watched
-  bool rested_{false};           ///< a pause was made since then
-  std::size_t workers_{0};       ///< known workers
-  std::uint64_t sequence_{0};
+  std::map<std::string, time_point> pending_removals_;  ///< workers to remove, by deadline
+  std::deque<batch_in_flight> batches_;                 ///< oldest first
+  std::deque<std::string> unwatched_;                   ///< workers still to be watched
+  std::set<std::string> unanswered_slice_;  ///< workers of the last slice that have not answered
+  time_point slice_watched_at_{};           ///< when that slice was watched
+  bool paused_before_slice_{false};         ///< a pause was made since then
+  std::size_t workers_{0};                  ///< known workers
+  std::uint64_t next_sequence_{0};
   std::uint64_t configuration_next_{0};
   std::uint64_t registry_next_{0};
   time_point began_at_{};
-  time_point proof_at_{};
+  time_point confirmed_at_{};
   time_point no_newer_claim_at_{};
-  time_point passed_at_{};
-  time_point stood_still_at_{};
-  duration usual_append_{};  ///< time that a batch takes to be stored, smoothed
-  time_point collect_since_{};
-  time_point sent_again_at_{};
+  time_point last_pass_at_{};
+  time_point resumed_at_{};
+  duration smoothed_append_time_{};  ///< time that a batch takes to be stored, smoothed
+  time_point collecting_since_{};
+  time_point resent_at_{};
   time_point probed_at_{};
   time_point store_failed_at_{};
-  time_point store_away_since_{};
+  time_point store_state_changed_at_{};
   duration last_tick_{};
-  bool late_{false};  ///< the last tick exceeded `leader_settings::late_after`
+  bool late_{false};  ///< the last tick exceeded `leader_settings::lateness_threshold`
   bool store_reached_{true};
   bool first_stored_{false};  ///< a batch of this leadership was stored
   bool state_read_{false};
   bool workers_read_{false};
   bool serving_{false};
   bool resigning_{false};
-  bool over_{false};
+  bool ended_{false};
   bool pump_posted_{false};
   bool pass_pending_{false};
   bool verifying_{false};
--- a/test/rosearch/cell/cell_settings_test.cc
+++ b/test/rosearch/cell/cell_settings_test.cc
@@ -21,7 +21,7 @@
   const auto read = ParseCellSettings(Settings(""));
   REQUIRE(read.has_value());
   CHECK(read.value().leading.scheduler.off == sched::mechanism_set{});
-  CHECK(read.value().leading.batches > 1);
+  CHECK(read.value().leading.max_batches_in_flight > 1);
 }
 
 TEST_CASE("settings switch mechanisms off by name") {
@@ -31,8 +31,8 @@
   const auto& scheduler = read.value().leading.scheduler;
   CHECK_FALSE(scheduler.Uses(sched::mechanism::kRescue));
   CHECK(scheduler.Uses(sched::mechanism::kReservation));
-  CHECK(read.value().leading.batches == 1);
-  CHECK(read.value().electing.broken_after == read.value().electing.suspect_after);
+  CHECK(read.value().leading.max_batches_in_flight == 1);
+  CHECK(read.value().electing.connection_loss_timeout == read.value().electing.suspect_timeout);
 }
 
 // An operator misspells a mechanism to measure the cell without it. If the unknown name were
--- a/test/rosearch/cell/election_test.cc
+++ b/test/rosearch/cell/election_test.cc
@@ -40,9 +40,9 @@
   candidate.OnLeadership(kFirst, kStart);
   for (int at = 1; at < 20; ++at) {
     const auto now = kStart + milliseconds{200} * at;
-    candidate.OnHeard(1, now);
-    CHECK_FALSE(candidate.Doubts(now + milliseconds{199}));
-    CHECK(candidate.Hears(now + milliseconds{199}));
+    candidate.OnLeaderAnswer(1, now);
+    CHECK_FALSE(candidate.ShouldAskPeers(now + milliseconds{199}));
+    CHECK(candidate.HasActiveLeader(now + milliseconds{199}));
   }
 }
 
@@ -52,9 +52,9 @@
   auto candidate = MakeElection();
   candidate.OnClaimsRead(kStart);
   candidate.OnLeadership(kFirst, kStart);
-  candidate.OnHeard(1, kStart);
-  CHECK_FALSE(candidate.Doubts(kStart + milliseconds{300}));
-  CHECK(candidate.Doubts(kStart + milliseconds{400}));
+  candidate.OnLeaderAnswer(1, kStart);
+  CHECK_FALSE(candidate.ShouldAskPeers(kStart + milliseconds{300}));
+  CHECK(candidate.ShouldAskPeers(kStart + milliseconds{400}));
   CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{500}));
   CHECK(candidate.ShouldClaim(kStart + milliseconds{750}));
 }
@@ -66,10 +66,10 @@
   auto candidate = MakeElection();
   candidate.OnClaimsRead(kStart);
   candidate.OnLeadership(kFirst, kStart);
-  candidate.OnHeard(1, kStart);
-  candidate.OnOwnDelay(milliseconds{300}, kStart + milliseconds{500});
+  candidate.OnLeaderAnswer(1, kStart);
+  candidate.OnTimerDelay(milliseconds{300}, kStart + milliseconds{500});
   CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{1'500}));
-  candidate.OnHeard(1, kStart + milliseconds{1'600});
+  candidate.OnLeaderAnswer(1, kStart + milliseconds{1'600});
   CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{2'100}));
   // The slow process still claims if the leader stays silent and no other process claims.
   CHECK(candidate.ShouldClaim(kStart + seconds{4}));
@@ -80,8 +80,8 @@
   auto candidate = MakeElection();
   candidate.OnClaimsRead(kStart);
   candidate.OnLeadership(kFirst, kStart);
-  candidate.OnHeard(1, kStart);
-  candidate.OnPeerHeard(kStart + milliseconds{500});
+  candidate.OnLeaderAnswer(1, kStart);
+  candidate.OnPeerReport(kStart + milliseconds{500});
   CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{1'000}));
 }
 
@@ -91,8 +91,8 @@
   auto candidate = MakeElection();
   candidate.OnClaimsRead(kStart);
   candidate.OnLeadership(kFirst, kStart);
-  candidate.OnHeard(1, kStart);
-  candidate.OnPeerHeard(kStart + milliseconds{50});
+  candidate.OnLeaderAnswer(1, kStart);
+  candidate.OnPeerReport(kStart + milliseconds{50});
   CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{600}));
   CHECK(candidate.ShouldClaim(kStart + milliseconds{750}));
 }
@@ -103,10 +103,10 @@
   auto candidate = MakeElection();
   candidate.OnClaimsRead(kStart);
   candidate.OnLeadership(kFirst, kStart);
-  candidate.OnHeard(1, kStart);
+  candidate.OnLeaderAnswer(1, kStart);
   candidate.OnConnectionBroken(kStart + milliseconds{20});
-  CHECK(candidate.Doubts(kStart + milliseconds{20}));
-  CHECK_FALSE(candidate.Reaches(kStart + milliseconds{20}));
+  CHECK(candidate.ShouldAskPeers(kStart + milliseconds{20}));
+  CHECK_FALSE(candidate.LeaderReachable(kStart + milliseconds{20}));
   CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{100}));
   CHECK(candidate.ShouldClaim(kStart + milliseconds{300}));
 }
@@ -116,10 +116,10 @@
   auto candidate = MakeElection();
   candidate.OnClaimsRead(kStart);
   candidate.OnLeadership(kFirst, kStart);
-  candidate.OnHeard(1, kStart);
+  candidate.OnLeaderAnswer(1, kStart);
   candidate.OnConnectionBroken(kStart + milliseconds{20});
-  SECTION("by this process") { candidate.OnHeard(1, kStart + milliseconds{90}); }
-  SECTION("by a peer") { candidate.OnPeerHeard(kStart + milliseconds{90}); }
+  SECTION("by this process") { candidate.OnLeaderAnswer(1, kStart + milliseconds{90}); }
+  SECTION("by a peer") { candidate.OnPeerReport(kStart + milliseconds{90}); }
   CHECK_FALSE(candidate.ShouldClaim(kStart + milliseconds{300}));
 }
 
@@ -127,10 +127,10 @@
   auto candidate = MakeElection();
   candidate.OnClaimsRead(kStart);
   candidate.OnLeadership(kFirst, kStart);
-  candidate.OnHeard(1, kStart + seconds{5});
+  candidate.OnLeaderAnswer(1, kStart + seconds{5});
   candidate.OnLeaderLeaving(1);
-  CHECK_FALSE(candidate.Hears(kStart + seconds{5}));
-  CHECK(candidate.Reaches(kStart + seconds{5}));
+  CHECK_FALSE(candidate.HasActiveLeader(kStart + seconds{5}));
+  CHECK(candidate.LeaderReachable(kStart + seconds{5}));
   CHECK(candidate.ShouldClaim(kStart + seconds{5} + milliseconds{120}));
 }
 
--- a/test/rosearch/cell/leader_test.cc
+++ b/test/rosearch/cell/leader_test.cc
@@ -154,7 +154,7 @@
   leading cell;
   CHECK(cell.Ask("GET", "b")->status == 410);
   for (int at = 0; at < 27; ++at) {
-    cell.made->OnPeerSign();
+    cell.made->OnPeerHeartbeat();
     cell.Run(milliseconds{100});
   }
   CHECK(cell.Ask("GET", "b")->status == 503);
