--- a/src/rosearch/cell/internal/leader_takeover.h
+++ b/src/rosearch/cell/internal/leader_takeover.h
@@ -27,54 +27,55 @@
 
 template <typename Ports>
 void leader<Ports>::ReadState(const std::string& after) {
-  ports_.Newest(stream::kState, after, Bind([after](leader& self, result<newest_page> page) {
-                  if (page.has_error()) {
-                    self.After(self.writer_timer_, self.settings_.store_retry_interval,
-                               [after](leader& retrying) { retrying.ReadState(after); });
-                    return;
-                  }
-                  for (const auto& record : page.value().records) {
-                    if (!self.scheduler_.Restore(record, Now())) {
-                      self.log_.Write(event_line{"record_unreadable", event_weight::kFailure}.Add(
-                          "key", record.key));
-                    }
-                  }
-                  if (page.value().continue_after.empty()) {
-                    self.state_read_ = true;
-                    self.ServeWhenRestored();
-                  } else {
-                    self.ReadState(page.value().continue_after);
-                  }
-                }));
+  ports_.ReadNewest(
+      stream::kState, after, Bind([after](leader& self, result<newest_page> page) {
+        if (page.has_error()) {
+          self.After(self.writer_timer_, self.settings_.store_retry_interval,
+                     [after](leader& retrying) { retrying.ReadState(after); });
+          return;
+        }
+        for (const auto& record : page.value().records) {
+          if (!self.scheduler_.Restore(record, Now())) {
+            self.log_.Write(
+                event_line{"record_unreadable", event_weight::kFailure}.Add("key", record.key));
+          }
+        }
+        if (page.value().continue_after.empty()) {
+          self.state_read_ = true;
+          self.ServeWhenRestored();
+        } else {
+          self.ReadState(page.value().continue_after);
+        }
+      }));
 }
 
 template <typename Ports>
 void leader<Ports>::ReadConfiguration(const std::string& after) {
-  ports_.Newest(stream::kConfiguration, after,
-                Bind([after](leader& self, result<newest_page> page) {
-                  if (page.has_error()) {
-                    self.After(self.configuration_timer_, self.settings_.store_retry_interval,
-                               [after](leader& retrying) { retrying.ReadConfiguration(after); });
-                    return;
-                  }
-                  for (const auto& record : page.value().records) {
-                    self.ApplyConfiguration(record);
-                  }
-                  self.configuration_next_ = page.value().end;
-                  if (!page.value().continue_after.empty()) {
-                    self.ReadConfiguration(page.value().continue_after);
-                  } else if (self.serving_) {
-                    self.FollowConfiguration();
-                  } else {
-                    self.ReadWorkers({}, true);
-                  }
-                }));
+  ports_.ReadNewest(
+      stream::kConfiguration, after, Bind([after](leader& self, result<newest_page> page) {
+        if (page.has_error()) {
+          self.After(self.configuration_timer_, self.settings_.store_retry_interval,
+                     [after](leader& retrying) { retrying.ReadConfiguration(after); });
+          return;
+        }
+        for (const auto& record : page.value().records) {
+          self.ApplyConfiguration(record);
+        }
+        self.configuration_next_ = page.value().end;
+        if (!page.value().continue_after.empty()) {
+          self.ReadConfiguration(page.value().continue_after);
+        } else if (self.serving_) {
+          self.FollowConfiguration();
+        } else {
+          self.ReadWorkers({}, true);
+        }
+      }));
 }
 
 template <typename Ports>
 void leader<Ports>::ReadWorkers(const std::string& after, bool first) {
   // Workers missing from the registry are removed only if it fits into one page.
-  ports_.Newest(
+  ports_.ReadNewest(
       stream::kWorkers, after, Bind([after, first](leader& self, result<newest_page> page) {
         if (page.has_error()) {
           self.RecordStoreAnswer(false);
--- a/src/rosearch/cell/internal/node_callers.h
+++ b/src/rosearch/cell/internal/node_callers.h
@@ -8,10 +8,10 @@
 namespace rosearch::cell {
 
 template <typename Ports>
-void node<Ports>::Take(http_call call, http_respond respond) {
-  const auto timeout = Ports::CallerPatience(call.headers).value_or(kDefaultPatience);
+void node<Ports>::HandleCall(http_call call, http_respond respond) {
+  const auto timeout = Ports::CallerTimeout(call.headers).value_or(kDefaultCallerTimeout);
   const auto now = SteadyNow();
-  auto pending = std::make_shared<forwarded>();
+  auto pending = std::make_shared<forwarded_call>();
   auto host = call.headers["host"];
   host = host.substr(0, host.rfind(':'));
   for (auto& letter : host) {
@@ -19,11 +19,11 @@
   }
   pending->request = {std::move(call.method), std::move(host), std::move(call.path),
                       std::move(call.body)};
-  pending->taken_at = now;
-  pending->answer_by = now + std::min(timeout - kAnswerMargin, kForwardPatience);
-  pending->refuse_at = now + kLeaderPatience;
+  pending->received_at = now;
+  pending->answer_deadline = now + std::min(timeout - kAnswerMargin, kForwardTimeout);
+  pending->refuse_at = now + kLeaderTimeout;
   pending->respond = std::move(respond);
-  ++under_way_;
+  ++calls_in_flight_;
   Forward(pending);
 }
 
@@ -35,7 +35,7 @@
 }
 
 template <typename Ports>
-event_line node<Ports>::LineAbout(const forwarded& call, std::string_view event,
+event_line node<Ports>::LineAbout(const forwarded_call& call, std::string_view event,
                                   event_weight weight) {
   const auto& path = call.request.path;
   event_line line{event, weight};
@@ -46,8 +46,9 @@
 }
 
 template <typename Ports>
-void node<Ports>::Finish(const std::shared_ptr<forwarded>& call, const caller_answer& answer) {
-  --under_way_;
+void node<Ports>::FinishCall(const std::shared_ptr<forwarded_call>& call,
+                             const caller_answer& answer) {
+  --calls_in_flight_;
   http_response response;
   response.status = answer.status;
   response.body = answer.body;
@@ -61,41 +62,41 @@
       LineAbout(*call, "call_answered", is_query ? event_weight::kDetail : event_weight::kRequest)
           .Add("status", answer.status)
           .Add("retry_after_s", answer.retry_after_s)
-          .Add("took_ms", SteadyNow() - call->taken_at));
+          .Add("took_ms", SteadyNow() - call->received_at));
   call->respond(std::move(response));
 }
 
 template <typename Ports>
-void node<Ports>::ForwardLater(const std::shared_ptr<forwarded>& call) {
+void node<Ports>::RetryForward(const std::shared_ptr<forwarded_call>& call) {
   const auto now = SteadyNow();
-  if (!call->unsure && now >= call->refuse_at) {
+  if (!call->maybe_processed && now >= call->refuse_at) {
     log_.Write(LineAbout(*call, "call_refused", event_weight::kFailure)
                    .Add("reason", "no_leader")
                    .Add("known_epoch", election_.KnownLeader().epoch));
-    Finish(call, {503, {}, 1, false});
+    FinishCall(call, {503, {}, 1, false});
     return;
   }
-  if (now >= call->answer_by) {
+  if (now >= call->answer_deadline) {
     // A leader may have accepted the job, so this is no refusal; the caller finds out by retrying.
     log_.Write(LineAbout(*call, "call_unanswered", event_weight::kFailure)
                    .Add("known_epoch", election_.KnownLeader().epoch));
-    Finish(call, {504, {}, 0, false});
+    FinishCall(call, {504, {}, 0, false});
     return;
   }
-  auto timer = std::make_shared<boost::asio::steady_timer>(io_, kForwardAgain);
+  auto timer = std::make_shared<boost::asio::steady_timer>(io_, kForwardRetryInterval);
   timer->async_wait([this, call, timer](const boost::system::error_code&) { Forward(call); });
 }
 
 template <typename Ports>
-void node<Ports>::Forward(const std::shared_ptr<forwarded>& call) {
+void node<Ports>::Forward(const std::shared_ptr<forwarded_call>& call) {
   const auto now = SteadyNow();
-  const auto time_left = call->answer_by - now;
+  const auto time_left = call->answer_deadline - now;
   const auto on_answer = [this, call](const caller_answer& answer) {
     if (answer.not_leading) {
-      call->unsure = call->unsure || answer.status == kMayBeStored;
-      ForwardLater(call);
+      call->maybe_processed = call->maybe_processed || answer.status == kMayBeStored;
+      RetryForward(call);
     } else {
-      Finish(call, answer);
+      FinishCall(call, answer);
     }
   };
   if (leader_ && leader_->Serving()) {
@@ -104,7 +105,7 @@
   }
   if (leader_ || election_.KnownLeader().epoch == 0 || time_left <= duration{} ||
       !election_.LeaderReachable(now)) {
-    ForwardLater(call);
+    RetryForward(call);
     return;
   }
   wire::peer_frame frame;
@@ -123,11 +124,11 @@
   constexpr duration kAttemptTimeout = std::chrono::milliseconds{1'000};
   peers_.Ask(
       election_.KnownLeader().address, std::move(frame),
-      std::min(call->answer_by, now + kAttemptTimeout),
+      std::min(call->answer_deadline, now + kAttemptTimeout),
       [this, call, on_answer](const wire::peer_frame* answer) {
         if (answer == nullptr) {
-          call->unsure = true;
-          ForwardLater(call);
+          call->maybe_processed = true;
+          RetryForward(call);
           return;
         }
         const auto& reply = answer->answer();
--- a/src/rosearch/cell/internal/node_leadership.h
+++ b/src/rosearch/cell/internal/node_leadership.h
@@ -10,35 +10,36 @@
 template <typename Ports>
 void node<Ports>::Tick() {
   const auto now = SteadyNow();
-  if (tick_due_ != time_point{}) {
-    election_.OnTimerDelay(now - tick_due_, now);
+  if (next_tick_at_ != time_point{}) {
+    election_.OnTimerDelay(now - next_tick_at_, now);
   }
-  if (!Leading() && now - pinged_at_ >= PingEvery(settings_.processor_milli)) {
+  if (!IsLeading() && now - pinged_at_ >= PingInterval(settings_.processor_milli)) {
     pinged_at_ = now;
     Ping();
   }
-  if (Leading()) {
+  if (IsLeading()) {
     if (leader_->Serving()) {
-      heard_at_ = now;
+      last_leader_answer_at_ = now;
       limits_ = leader_->configuration().limits;
       limits_known_ = leader_->configuration().version > 0;
     }
     election_.OnLeaderAnswer(leader_->epoch(), now);
     if (!stopping_) {
-      Announce();
+      AnnounceLeadership();
       PublishPingReply();
-      OfferToLarger();
+      OfferLeadership();
     }
   } else if (!stopping_ && election_.ShouldAskPeers(now)) {
-    ClaimIfNobodyLeads();
+    ClaimIfNoLeader();
   }
   UpdatePeers();
-  TickAfter(!Leading() && election_.ShouldAskPeers(now) ? kDoubtTick : kTick);
+  ScheduleTick(!IsLeading() && election_.ShouldAskPeers(now) ? kSuspectTickInterval
+                                                             : kTickInterval);
 }
 
 template <typename Ports>
-void node<Ports>::TickAfter(duration delay) {
-  tick_due_ = SteadyNow() + delay;
+void node<Ports>::ScheduleTick(duration delay) {
+  next_tick_at_ = SteadyNow() + delay;
   tick_timer_.expires_after(delay);
   tick_timer_.async_wait([this](const boost::system::error_code& failed) {
     if (!failed) {
@@ -49,7 +50,7 @@
 
 template <typename Ports>
 void node<Ports>::OnConnectionBroken(const std::string& peer) {
-  if (Leading() || stopping_ || peer != election_.KnownLeader().address) {
+  if (IsLeading() || stopping_ || peer != election_.KnownLeader().address) {
     return;
   }
   log_.Write(event_line{"leader_connection_broken", event_weight::kBelief}
@@ -58,7 +59,7 @@
                  .Add("heard_ms_ago", SteadyNow() - election_.LastAnswerAt()));
   election_.OnConnectionBroken(SteadyNow());
   pinged_at_ = time_point{};
-  Knock();
+  ProbeLeader();
   Tick();
 }
 
@@ -67,14 +68,14 @@
 /// answers, this proves that the leader is gone, so the takeover starts without waiting for a
 /// timeout.
 template <typename Ports>
-void node<Ports>::Knock() {
+void node<Ports>::ProbeLeader() {
   const auto epoch = election_.KnownLeader().epoch;
   const auto endpoint = ParseAddress(election_.KnownLeader().address);
   if (!endpoint) {
     return;
   }
   auto socket = std::make_shared<boost::asio::ip::tcp::socket>(io_);
-  auto timer = std::make_shared<boost::asio::steady_timer>(io_, kKnockPatience);
+  auto timer = std::make_shared<boost::asio::steady_timer>(io_, kProbeTimeout);
   timer->async_wait([socket, timer](const boost::system::error_code&) {
     boost::system::error_code ignored;
     socket->close(ignored);
@@ -83,7 +84,7 @@
       *endpoint, [this, epoch, socket, timer](const boost::system::error_code& failed) {
         timer->cancel();
         const bool refused = failed == boost::asio::error::connection_refused;
-        if (!refused || Leading() || stopping_ || epoch != election_.KnownLeader().epoch) {
+        if (!refused || IsLeading() || stopping_ || epoch != election_.KnownLeader().epoch) {
           return;
         }
         log_.Write(event_line{"leader_gone", event_weight::kBelief}
@@ -96,29 +97,30 @@
 }
 
 template <typename Ports>
-void node<Ports>::ClaimIfNobodyLeads() {
+void node<Ports>::ClaimIfNoLeader() {
   const auto now = SteadyNow();
   if (!election_.Leaving()) {
-    AskPeersForLeader();
+    QueryPeers();
   }
   // Claims that are pending while the store is unavailable are applied in any order once it is
   // back. Small processes therefore don't claim then: one could win a cell that needs more than its
   // processor.
   const bool small = settings_.processor_milli < kLargeProcess;
-  if (small && now - claims_read_at_ >= kClaimsFresh) {
+  if (small && now - claims_read_at_ >= kMaxClaimsReadAge) {
     return;
   }
   // A peer that reaches the leader was reported to the election when its answer arrived, so here it
   // only matters that the query has completed.
-  const bool peers_agree = election_.Leaving() || now - asked_all_at_ < kWordFresh;
+  const bool peers_agree =
+      election_.Leaving() || now - completed_peer_query_at_ < kMaxPeerAnswerAge;
   if (election_.ShouldClaim(now) && peers_agree) {
-    Claim();
+    ClaimLeadership();
   }
 }
 
 template <typename Ports>
 std::vector<std::string> node<Ports>::Relays() const {
-  const auto wanted = Leading() ? RelaysFor(leader_->Workers()) : 0;
+  const auto wanted = IsLeading() ? RelayCount(leader_->Workers()) : 0;
   if (wanted == 0 || !settings_.leading.scheduler.Uses(sched::mechanism::kRelays)) {
     return {};
   }
@@ -140,23 +142,23 @@
 // choose dead processes as relays and, when none of them answers, open a connection of its own to
 // each of thousands of workers.
 template <typename Ports>
-duration node<Ports>::WatchPause() const {
+duration node<Ports>::WatchDelay() const {
   const auto& scheduler = settings_.leading.scheduler;
   const bool relays_wanted =
-      scheduler.Uses(sched::mechanism::kRelays) && RelaysFor(leader_->Workers()) > 0;
+      scheduler.Uses(sched::mechanism::kRelays) && RelayCount(leader_->Workers()) > 0;
   if (!relays_wanted) {
     return {};
   }
-  return outside_.HasRelays() ? kRelayedPause : kUnrelayedPause;
+  return outside_.HasRelays() ? kRelayedWatchDelay : kUnrelayedWatchDelay;
 }
 
 template <typename Ports>
 void node<Ports>::UpdatePeers() {
   const auto now = SteadyNow();
   const auto before = members_.size();
-  if (Leading()) {
+  if (IsLeading()) {
     std::erase_if(members_,
-                  [&](const auto& each) { return now - each.second.seen_at >= kMemberFresh; });
+                  [&](const auto& each) { return now - each.second.seen_at >= kMemberTimeout; });
   }
   if (members_.size() != before) {
     ++members_version_;
@@ -178,20 +180,20 @@
   }
   outside_.SetPeers(addresses);
   outside_.SetRelays(Relays());
-  if (Leading()) {
+  if (IsLeading()) {
     leader_->SetHelpers(helpers);
   }
 }
 
 template <typename Ports>
-void node<Ports>::SayGoodbye(std::uint64_t epoch) {
+void node<Ports>::NotifyPeersOfResignation(std::uint64_t epoch) {
   for (const auto& [address, each] : members_) {
-    TellGoodbye(address, epoch);
+    SendResignation(address, epoch);
   }
 }
 
 template <typename Ports>
-void node<Ports>::TellGoodbye(const std::string& address, std::uint64_t epoch) {
+void node<Ports>::SendResignation(const std::string& address, std::uint64_t epoch) {
   wire::peer_frame frame;
   frame.set_epoch(epoch);
   frame.mutable_notice()->set_resigning(true);
@@ -202,11 +204,11 @@
 // of them would lead thousands of workers with a tenth of a processor, and callers would wait for
 // seconds.
 template <typename Ports>
-void node<Ports>::OfferToLarger() {
+void node<Ports>::OfferLeadership() {
   const auto now = SteadyNow();
   const bool small = settings_.processor_milli < kLargeProcess;
-  if (!small || !leader_->Serving() || RelaysFor(leader_->Workers()) == 0 ||
-      now - offered_at_ < kOfferAgain) {
+  if (!small || !leader_->Serving() || RelayCount(leader_->Workers()) == 0 ||
+      now - offered_at_ < kOfferInterval) {
     return;
   }
   const auto larger = LargeMembers();
@@ -221,17 +223,17 @@
                  .Add("workers", leader_->Workers()));
   // Only larger peers are notified; this process keeps leading until one of them has claimed.
   for (const auto& address : larger) {
-    TellGoodbye(address, leader_->epoch());
+    SendResignation(address, leader_->epoch());
   }
 }
 
 template <typename Ports>
-void node<Ports>::Announce() {
+void node<Ports>::AnnounceLeadership() {
   // Peers that still follow another leader, or none, learn of this leader without reading the
   // store.
   const auto now = SteadyNow();
   for (const auto& [address, each] : members_) {
-    if (now - each.seen_at > PingEvery(each.facts.processor_milli()) * 2) {
+    if (now - each.seen_at > PingInterval(each.facts.processor_milli()) * 2) {
       wire::peer_frame frame;
       frame.set_epoch(leader_->epoch());
       frame.mutable_notice()->set_address(peers_.address());
@@ -252,8 +254,8 @@
     wire::peer_frame answer;
     answer.set_epoch(election_.KnownLeader().epoch);
     const auto now = SteadyNow();
-    const bool reaches_leader = election_.HasActiveLeader(now) || Leading();
-    const auto ago = Leading() ? duration{} : now - election_.LastAnswerAt();
+    const bool reaches_leader = election_.HasActiveLeader(now) || IsLeading();
+    const auto ago = IsLeading() ? duration{} : now - election_.LastAnswerAt();
     auto& view = *answer.mutable_view();
     view.set_heard(reaches_leader && !stopping_);
     view.set_leader(election_.KnownLeader().address);
@@ -262,8 +264,8 @@
   } else if (frame.has_notice()) {
     if (frame.notice().resigning()) {
       election_.OnLeaderLeaving(frame.epoch());
-      if (!Leading() && !stopping_ && election_.Leaving()) {
-        ClaimIfNobodyLeads();
+      if (!IsLeading() && !stopping_ && election_.Leaving()) {
+        ClaimIfNoLeader();
       }
     } else {
       AdoptLeadership({frame.epoch(), frame.notice().address(), {}, 0});
@@ -298,9 +300,9 @@
 
 template <typename Ports>
 void node<Ports>::FindNewestClaim() {
-  ports_.Newest(stream::kClaims, {}, [this](result<newest_page> page) {
+  ports_.ReadNewest(stream::kClaims, {}, [this](result<newest_page> page) {
     if (page.has_error()) {
-      claims_timer_.expires_after(kClaimsRetry);
+      claims_timer_.expires_after(kClaimsRetryInterval);
       claims_timer_.async_wait([this](const boost::system::error_code& failed) {
         if (!failed) {
           FindNewestClaim();
@@ -308,14 +310,14 @@
       });
       return;
     }
-    claims_next_ = page.value().end;
+    next_claim_offset_ = page.value().end;
     for (const auto& record : page.value().records) {
-      OnClaim(record.value, claims_next_ - 1);
+      OnClaim(record.value, next_claim_offset_ - 1);
     }
     claims_read_at_ = SteadyNow();
     election_.OnClaimsRead(claims_read_at_);
-    if (election_.KnownLeader().epoch > 0 && !Leading()) {
-      Knock();
+    if (election_.KnownLeader().epoch > 0 && !IsLeading()) {
+      ProbeLeader();
     }
     FollowClaims();
   });
@@ -324,31 +326,33 @@
 template <typename Ports>
 void node<Ports>::FollowClaims() {
   const auto asked_at = SteadyNow();
-  ports_.Read(stream::kClaims, claims_next_, kClaimsWait, [this, asked_at](result<log_page> page) {
-    if (page.has_error() || page.value().trimmed) {
-      claims_timer_.expires_after(kClaimsRetry);
-      const bool trimmed = page.has_value();
-      claims_timer_.async_wait([this, trimmed](const boost::system::error_code& failed) {
-        if (!failed) {
-          trimmed ? FindNewestClaim() : FollowClaims();
+  ports_.Read(
+      stream::kClaims, next_claim_offset_, kClaimsPollTimeout,
+      [this, asked_at](result<log_page> page) {
+        if (page.has_error() || page.value().trimmed) {
+          claims_timer_.expires_after(kClaimsRetryInterval);
+          const bool trimmed = page.has_value();
+          claims_timer_.async_wait([this, trimmed](const boost::system::error_code& failed) {
+            if (!failed) {
+              trimmed ? FindNewestClaim() : FollowClaims();
+            }
+          });
+          return;
+        }
+        auto offset = page.value().next - page.value().records.size();
+        for (const auto& bytes : page.value().records) {
+          if (const auto record = SplitKeyed(bytes)) {
+            OnClaim(record->value, offset);
+          }
+          ++offset;
         }
+        next_claim_offset_ = page.value().next;
+        claims_read_at_ = SteadyNow();
+        if (leader_ && leader_->epoch() == election_.KnownLeader().epoch) {
+          leader_->OnNoNewerClaim(asked_at);
+        }
+        FollowClaims();
       });
-      return;
-    }
-    auto offset = page.value().next - page.value().records.size();
-    for (const auto& bytes : page.value().records) {
-      if (const auto record = SplitKeyed(bytes)) {
-        OnClaim(record->value, offset);
-      }
-      ++offset;
-    }
-    claims_next_ = page.value().next;
-    claims_read_at_ = SteadyNow();
-    if (leader_ && leader_->epoch() == election_.KnownLeader().epoch) {
-      leader_->OnNoNewerClaim(asked_at);
-    }
-    FollowClaims();
-  });
 }
 
 template <typename Ports>
@@ -364,7 +368,7 @@
   const bool is_newer = claimed.epoch > election_.KnownLeader().epoch;
   AdoptLeadership(claimed);
   if (own && is_newer && !stopping_) {
-    Lead(claimed.epoch);
+    StartLeading(claimed.epoch);
   } else if (claimed.address == peers_.address() && claim.incarnation() != incarnation_) {
     // An earlier incarnation of this process led, so there is no leader now.
     election_.OnLeaderLeaving(claimed.epoch);
@@ -375,43 +379,43 @@
 // others, the small processes would be overloaded and answer late, and each new leader would in
 // turn be declared dead.
 template <typename Ports>
-std::vector<std::string> node<Ports>::PeersToAsk() const {
+std::vector<std::string> node<Ports>::PeersToQuery() const {
   std::vector<std::string> others;
   for (const auto& [address, each] : members_) {
     if (address != election_.KnownLeader().address) {
       others.push_back(address);
     }
   }
-  return HighestRanked(std::move(others), peers_.address(), kPeersAsked);
+  return HighestRanked(std::move(others), peers_.address(), kMaxQueriedPeers);
 }
 
 template <typename Ports>
-void node<Ports>::AskPeersForLeader() {
+void node<Ports>::QueryPeers() {
   const auto now = SteadyNow();
-  if (asking_peers_ || now - asked_peers_at_ < kQueryPatience) {
+  if (peer_query_in_flight_ || now - peers_queried_at_ < kQueryTimeout) {
     return;
   }
-  asked_peers_at_ = now;
-  const auto asked = PeersToAsk();
+  peers_queried_at_ = now;
+  const auto asked = PeersToQuery();
   if (asked.empty()) {
-    asked_all_at_ = now;
+    completed_peer_query_at_ = now;
     return;
   }
-  if (doubted_epoch_ != election_.KnownLeader().epoch) {
-    doubted_epoch_ = election_.KnownLeader().epoch;
+  if (suspected_epoch_ != election_.KnownLeader().epoch) {
+    suspected_epoch_ = election_.KnownLeader().epoch;
     log_.Write(event_line{"leader_doubted", event_weight::kBelief}
-                   .Add("epoch", doubted_epoch_)
+                   .Add("epoch", suspected_epoch_)
                    .Add("heard_ms_ago", now - election_.LastAnswerAt())
                    .Add("asked", asked.size())
                    .Add("peers", members_.size()));
   }
-  asking_peers_ = true;
+  peer_query_in_flight_ = true;
   auto pending = std::make_shared<std::size_t>(asked.size());
   for (const auto& address : asked) {
     wire::peer_frame frame;
     frame.set_epoch(election_.KnownLeader().epoch);
     frame.mutable_query();
-    peers_.Ask(address, std::move(frame), now + kQueryPatience,
+    peers_.Ask(address, std::move(frame), now + kQueryTimeout,
                [this, pending, now](const wire::peer_frame* answer) {
                  const bool reaches_leader = answer != nullptr && answer->view().heard() &&
                                              answer->epoch() >= election_.KnownLeader().epoch;
@@ -420,31 +424,31 @@
                    election_.OnPeerReport(SteadyNow() - ago);
                  }
                  if (--*pending == 0) {
-                   asking_peers_ = false;
-                   asked_all_at_ = now;
+                   peer_query_in_flight_ = false;
+                   completed_peer_query_at_ = now;
                  }
                });
   }
 }
 
 template <typename Ports>
-void node<Ports>::Claim() {
-  if (claiming_) {
+void node<Ports>::ClaimLeadership() {
+  if (claim_in_flight_) {
     return;
   }
-  claiming_ = true;
+  claim_in_flight_ = true;
   election_.OnClaimSent(SteadyNow());
   wire::leader_claim claim;
   *claim.mutable_member() = Self();
   claim.set_incarnation(incarnation_);
   const auto bytes = claim.SerializeAsString();
   log_.Write(event_line{"leadership_claimed", event_weight::kBelief}
-                 .Add("at", claims_next_)
+                 .Add("at", next_claim_offset_)
                  .Add("known_epoch", election_.KnownLeader().epoch)
                  .Add("peers", members_.size()));
-  ports_.Append(stream::kClaims, {JoinKeyed({"leader", bytes})}, std::nullopt, claims_next_,
+  ports_.Append(stream::kClaims, {JoinKeyed({"leader", bytes})}, std::nullopt, next_claim_offset_,
                 [this, bytes](const append_answer& answer) {
-                  claiming_ = false;
+                  claim_in_flight_ = false;
                   // After a lost answer, `FollowClaims` finds out whose claim won.
                   if (answer.outcome == append_outcome::kStored) {
                     OnClaim(bytes, answer.offset);
@@ -453,14 +457,14 @@
 }
 
 template <typename Ports>
-void node<Ports>::Lead(std::uint64_t epoch) {
+void node<Ports>::StartLeading(std::uint64_t epoch) {
   if (leader_) {
     return;
   }
   leader_hooks hooks;
   hooks.watch_pause = [this] {
     UpdatePeers();
-    return WatchPause();
+    return WatchDelay();
   };
   hooks.on_end = [this, epoch] {
     if (!leader_ || leader_->epoch() != epoch) {
@@ -468,7 +472,7 @@
     }
     leader_.reset();
     WithdrawPingReply();
-    SayGoodbye(epoch);
+    NotifyPeersOfResignation(epoch);
     election_.OnLeaderLeaving(epoch);
   };
   leader_ = std::make_shared<leader<Ports>>(io_, ports_, settings_.leading, epoch, log_, metrics_,
--- a/src/rosearch/cell/internal/node_pings.h
+++ b/src/rosearch/cell/internal/node_pings.h
@@ -21,7 +21,7 @@
     *frame.mutable_ping()->mutable_member() = Self();
     frame.mutable_ping()->set_members_version(members_version_);
     const auto asked_at = SteadyNow();
-    peers_.Ask(target, std::move(frame), asked_at + kPingPatience,
+    peers_.Ask(target, std::move(frame), asked_at + kPingTimeout,
                [this, asked_at](const wire::peer_frame* answer) {
                  if (answer != nullptr) {
                    metrics_.Observe("rosearch_peer_round_trip_seconds", SteadyNow() - asked_at);
@@ -35,7 +35,7 @@
 void node<Ports>::OnPong(const wire::peer_frame& frame) {
   const auto& pong = frame.pong();
   const auto now = SteadyNow();
-  if (Leading() || frame.epoch() != election_.KnownLeader().epoch) {
+  if (IsLeading() || frame.epoch() != election_.KnownLeader().epoch) {
     return;
   }
   if (!pong.leading() || pong.resigning()) {
@@ -45,7 +45,7 @@
     return;
   }
   election_.OnLeaderAnswer(frame.epoch(), now);
-  heard_at_ = now;
+  last_leader_answer_at_ = now;
   if (pong.members_size() > 0) {
     members_.clear();
     for (const auto& each : pong.members()) {
@@ -65,7 +65,7 @@
 }
 
 template <typename Ports>
-wire::peer_frame node<Ports>::Pong() const {
+wire::peer_frame node<Ports>::MakePong() const {
   wire::peer_frame frame;
   frame.set_epoch(election_.KnownLeader().epoch);
   auto& pong = *frame.mutable_pong();
@@ -81,8 +81,8 @@
 }
 
 template <typename Ports>
-wire::peer_frame node<Ports>::PongWithMembers() const {
-  auto frame = Pong();
+wire::peer_frame node<Ports>::MakePongWithMembers() const {
+  auto frame = MakePong();
   auto& pong = *frame.mutable_pong();
   pong.set_members_version(members_version_);
   *pong.add_members() = Self();
@@ -101,19 +101,19 @@
     return;
   }
   const auto now = SteadyNow();
-  const bool due = published_members_ == 0 || now - published_at_ >= kPublishEvery;
+  const bool due = published_members_ == 0 || now - published_at_ >= kMemberListInterval;
   if (published_members_ != members_version_ && due) {
     published_members_ = members_version_;
     published_at_ = now;
-    peers_.SetPingMembers(std::make_unique<wire::peer_frame>(PongWithMembers()));
+    peers_.SetPingMembers(std::make_unique<wire::peer_frame>(MakePongWithMembers()));
   }
-  peers_.SetPingReply(std::make_unique<wire::peer_frame>(Pong()), now + kPingReplyLife);
+  peers_.SetPingReply(std::make_unique<wire::peer_frame>(MakePong()), now + kPingReplyValidity);
 }
 
 template <typename Ports>
 void node<Ports>::AnswerPing(const wire::peer_frame& frame) {
   const auto& ping = frame.ping();
-  if (!Leading()) {
+  if (!IsLeading()) {
     wire::peer_frame answer;
     answer.set_epoch(election_.KnownLeader().epoch);
     answer.mutable_pong()->set_leading(false);
@@ -127,7 +127,7 @@
     leader_->OnPeerHeartbeat();
   }
   if (!peers_.RepliesTo(frame)) {
-    peers_.Answer(frame, PongWithMembers());
+    peers_.Answer(frame, MakePongWithMembers());
   }
 }
 
--- a/src/rosearch/cell/node.h
+++ b/src/rosearch/cell/node.h
@@ -73,12 +73,12 @@
   }
 
   /// Handles one request of a caller: serves it here if this process leads, else forwards it.
-  void Take(http_call call, http_respond respond);
+  void HandleCall(http_call call, http_respond respond);
 
   /// @return whether the load balancer should send callers' requests to this process.
-  [[nodiscard]] bool Ready() const {
+  [[nodiscard]] bool IsReady() const {
     const auto now = SteadyNow();
-    return !stopping_ && limits_known_ && now - heard_at_ < kReadyFor;
+    return !stopping_ && limits_known_ && now - last_leader_answer_at_ < kReadyTimeout;
   }
 
   /// Stops being ready and, on the leader, starts the handover. The leader keeps leading until a
@@ -89,8 +89,8 @@
       return;
     }
     WithdrawPingReply();
-    SayGoodbye(leader_->epoch());
-    handover_timer_.expires_after(kHandoverPatience);
+    NotifyPeersOfResignation(leader_->epoch());
+    handover_timer_.expires_after(kHandoverTimeout);
     handover_timer_.async_wait([this](const boost::system::error_code& failed) {
       if (!failed && leader_) {
         leader_->Resign();
@@ -98,7 +98,7 @@
     });
   }
   /// @return whether this process doesn't lead and has no caller's request in flight.
-  [[nodiscard]] bool Idle() const { return !leader_ && under_way_ == 0; }
+  [[nodiscard]] bool IsIdle() const { return !leader_ && calls_in_flight_ == 0; }
 
   /// Handles the loss of the connection to a peer.
   void OnConnectionBroken(const std::string& peer);
@@ -123,13 +123,13 @@
     bool has_pinged{false};  ///< this process has received a ping from it since it began to lead
   };
   /// A caller's request that is being forwarded to the leader.
-  struct forwarded {
+  struct forwarded_call {
     caller_request request;
-    time_point taken_at{};
-    time_point answer_by{};
+    time_point received_at{};
+    time_point answer_deadline{};
     time_point refuse_at{};  ///< refused then with 503 unless a leader was found
     http_respond respond;
-    bool unsure{false};  ///< a leader may have processed it, so it can't be refused
+    bool maybe_processed{false};  ///< a leader may have processed it, so it can't be refused
   };
 
   /// Processes with fewer thousandths of a processor than this claim later than larger ones: a
@@ -137,57 +137,57 @@
   static constexpr std::uint32_t kLargeProcess = 200;
   /// A process without an answer of the leader for this long isn't ready. Load balancers probe once
   /// a second and tolerate two failed probes; a leader change alone takes less than this.
-  static constexpr duration kReadyFor = std::chrono::milliseconds{2'500};
-  static constexpr duration kTick = std::chrono::milliseconds{100};
+  static constexpr duration kReadyTimeout = std::chrono::milliseconds{2'500};
+  static constexpr duration kTickInterval = std::chrono::milliseconds{100};
   /// Shorter interval while the leader is suspected to have failed, to speed up the takeover.
-  static constexpr duration kDoubtTick = std::chrono::milliseconds{30};
-  static constexpr duration kPingEvery = std::chrono::milliseconds{200};
+  static constexpr duration kSuspectTickInterval = std::chrono::milliseconds{30};
+  static constexpr duration kPingInterval = std::chrono::milliseconds{200};
   /// Small processes claim later anyway, so they need not detect a failed leader as fast. Most
-  /// processes are small: at `kPingEvery` the leader of a large cell would spend most of its time
-  /// on their pings.
-  static constexpr duration kSmallPingEvery = std::chrono::milliseconds{500};
+  /// processes are small: at `kPingInterval` the leader of a large cell would spend most of its
+  /// time on their pings.
+  static constexpr duration kSmallProcessPingInterval = std::chrono::milliseconds{500};
   /// Number of peers asked whether they reach the leader before it is replaced. With a fifth of all
   /// peers cut off from the leader, all 16 that are asked are cut off once in 10^11 cases.
-  static constexpr std::size_t kPeersAsked = 16;
+  static constexpr std::size_t kMaxQueriedPeers = 16;
   /// An offer of leadership that no larger process has accepted is repeated after this.
-  static constexpr duration kOfferAgain = std::chrono::milliseconds{2'000};
+  static constexpr duration kOfferInterval = std::chrono::milliseconds{2'000};
   /// Pause between slices of watched workers while no relay is known. Live peers ping a new leader
   /// within 0.2 s; until then the pause leaves processor time and descriptors for other work.
-  static constexpr duration kUnrelayedPause = std::chrono::milliseconds{20};
+  static constexpr duration kUnrelayedWatchDelay = std::chrono::milliseconds{20};
   /// Pause between slices of watched workers with relays. About twice as long as sending one slice
   /// takes, so that the thread that answers peers also gets its share of a small processor.
-  static constexpr duration kRelayedPause = std::chrono::milliseconds{10};
+  static constexpr duration kRelayedWatchDelay = std::chrono::milliseconds{10};
   /// Minimum interval between updates of the member list that is sent to peers. Without it, when
   /// hundreds of processes join at once, each would receive the whole list with every ping.
-  static constexpr duration kPublishEvery = std::chrono::milliseconds{1'000};
+  static constexpr duration kMemberListInterval = std::chrono::milliseconds{1'000};
   /// Validity of a prepared ping reply. The transport's thread sends it while the event loop is
   /// busy; after this time without a renewal the loop is considered stuck and pings get no prepared
   /// reply.
-  static constexpr duration kPingReplyLife = std::chrono::milliseconds{2'500};
-  static constexpr duration kPingPatience = std::chrono::milliseconds{600};
+  static constexpr duration kPingReplyValidity = std::chrono::milliseconds{2'500};
+  static constexpr duration kPingTimeout = std::chrono::milliseconds{600};
   /// A leader removes members that have not pinged it for this long, so it doesn't ask them for
   /// help.
-  static constexpr duration kMemberFresh = std::chrono::milliseconds{1'500};
+  static constexpr duration kMemberTimeout = std::chrono::milliseconds{1'500};
   /// A refused connection is reported within one round trip.
-  static constexpr duration kKnockPatience = std::chrono::milliseconds{250};
+  static constexpr duration kProbeTimeout = std::chrono::milliseconds{250};
   /// A stopping leader resigns after this even if no peer has claimed leadership.
-  static constexpr duration kHandoverPatience = std::chrono::milliseconds{1'500};
-  static constexpr duration kClaimsWait = std::chrono::milliseconds{1'000};
-  /// A store that responds completes a read of the claims within `kClaimsWait` plus its own
+  static constexpr duration kHandoverTimeout = std::chrono::milliseconds{1'500};
+  static constexpr duration kClaimsPollTimeout = std::chrono::milliseconds{1'000};
+  /// A store that responds completes a read of the claims within `kClaimsPollTimeout` plus its own
   /// latency; an older read means that the store doesn't respond.
-  static constexpr duration kClaimsFresh = std::chrono::milliseconds{2'000};
-  static constexpr duration kClaimsRetry = std::chrono::milliseconds{200};
-  static constexpr duration kQueryPatience = std::chrono::milliseconds{150};
+  static constexpr duration kMaxClaimsReadAge = std::chrono::milliseconds{2'000};
+  static constexpr duration kClaimsRetryInterval = std::chrono::milliseconds{200};
+  static constexpr duration kQueryTimeout = std::chrono::milliseconds{150};
   /// For how long the peers' answers that none of them reaches the leader stay valid.
-  static constexpr duration kWordFresh = std::chrono::milliseconds{450};
+  static constexpr duration kMaxPeerAnswerAge = std::chrono::milliseconds{450};
   /// A request for which no leader is found is refused after this. It is about as long as a leader
   /// change after a resignation, and shorter than the 1 s after which a refused caller retries.
-  static constexpr duration kLeaderPatience = std::chrono::milliseconds{600};
-  static constexpr duration kForwardAgain = std::chrono::milliseconds{40};
-  static constexpr duration kForwardPatience = std::chrono::milliseconds{2'600};
+  static constexpr duration kLeaderTimeout = std::chrono::milliseconds{600};
+  static constexpr duration kForwardRetryInterval = std::chrono::milliseconds{40};
+  static constexpr duration kForwardTimeout = std::chrono::milliseconds{2'600};
   /// Answers are sent this long before the caller's timeout.
   static constexpr duration kAnswerMargin = std::chrono::milliseconds{60};
-  static constexpr duration kDefaultPatience = std::chrono::seconds{3};
+  static constexpr duration kDefaultCallerTimeout = std::chrono::seconds{3};
 
   [[nodiscard]] wire::cell_member Self() const {
     wire::cell_member self;
@@ -200,44 +200,44 @@
     return static_cast<std::uint32_t>(
         std::chrono::duration_cast<std::chrono::milliseconds>(span).count());
   }
-  [[nodiscard]] bool Leading() const { return leader_ != nullptr; }
-  [[nodiscard]] static duration PingEvery(std::uint32_t processor_milli) {
-    return processor_milli < kLargeProcess ? kSmallPingEvery : kPingEvery;
+  [[nodiscard]] bool IsLeading() const { return leader_ != nullptr; }
+  [[nodiscard]] static duration PingInterval(std::uint32_t processor_milli) {
+    return processor_milli < kLargeProcess ? kSmallProcessPingInterval : kPingInterval;
   }
 
   void Tick();
-  void TickAfter(duration delay);
-  void Knock();
+  void ScheduleTick(duration delay);
+  void ProbeLeader();
   void Ping();
   void OnPong(const wire::peer_frame& frame);
-  void Announce();
-  void SayGoodbye(std::uint64_t epoch);
-  void TellGoodbye(const std::string& address, std::uint64_t epoch);
+  void AnnounceLeadership();
+  void NotifyPeersOfResignation(std::uint64_t epoch);
+  void SendResignation(const std::string& address, std::uint64_t epoch);
   /// Offers leadership to larger processes if this one is small and leads many workers.
-  void OfferToLarger();
+  void OfferLeadership();
   /// @return the large processes that have pinged this leader since it began to lead.
   [[nodiscard]] std::vector<std::string> LargeMembers() const;
   void FindNewestClaim();
   void FollowClaims();
   void OnClaim(const std::string& bytes, std::uint64_t offset);
   void AdoptLeadership(const leadership& claimed);
-  void ClaimIfNobodyLeads();
+  void ClaimIfNoLeader();
   /// @return the peers that are asked whether they reach the leader. They are the same in each
   ///         round, because a message to a peer without an open connection is lost.
-  [[nodiscard]] std::vector<std::string> PeersToAsk() const;
-  void AskPeersForLeader();
-  void Claim();
-  void Lead(std::uint64_t epoch);
+  [[nodiscard]] std::vector<std::string> PeersToQuery() const;
+  void QueryPeers();
+  void ClaimLeadership();
+  void StartLeading(std::uint64_t epoch);
   void UpdatePeers();
   /// @return the peers that relay this leader's requests to workers.
   [[nodiscard]] std::vector<std::string> Relays() const;
   /// @return how long this leader waits before it watches the next slice of workers.
-  [[nodiscard]] duration WatchPause() const;
+  [[nodiscard]] duration WatchDelay() const;
   void AnswerPing(const wire::peer_frame& frame);
   /// @return the leader's reply to a ping, without the member list.
-  [[nodiscard]] wire::peer_frame Pong() const;
+  [[nodiscard]] wire::peer_frame MakePong() const;
   /// @return the leader's reply to a ping, with the member list.
-  [[nodiscard]] wire::peer_frame PongWithMembers() const;
+  [[nodiscard]] wire::peer_frame MakePongWithMembers() const;
   /// Renews the prepared ping reply, which is sent even while the event loop is busy.
   void PublishPingReply();
   void WithdrawPingReply() {
@@ -246,11 +246,11 @@
     published_members_ = 0;
   }
   void AnswerCall(const wire::peer_frame& frame);
-  void Forward(const std::shared_ptr<forwarded>& call);
-  void ForwardLater(const std::shared_ptr<forwarded>& call);
-  void Finish(const std::shared_ptr<forwarded>& call, const caller_answer& answer);
+  void Forward(const std::shared_ptr<forwarded_call>& call);
+  void RetryForward(const std::shared_ptr<forwarded_call>& call);
+  void FinishCall(const std::shared_ptr<forwarded_call>& call, const caller_answer& answer);
   /// @return a log line about a caller's request, with the job's id if the path names one.
-  [[nodiscard]] static event_line LineAbout(const forwarded& call, std::string_view event,
+  [[nodiscard]] static event_line LineAbout(const forwarded_call& call, std::string_view event,
                                             event_weight weight);
 
   boost::asio::io_context& io_;
@@ -274,19 +274,19 @@
   sched::client_limits limits_;
   bool limits_known_{false};
   bool stopping_{false};
-  bool asking_peers_{false};
-  bool claiming_{false};
-  std::uint64_t claims_next_{0};
-  time_point heard_at_{time_point::min() + std::chrono::hours{1}};
+  bool peer_query_in_flight_{false};
+  bool claim_in_flight_{false};
+  std::uint64_t next_claim_offset_{0};
+  time_point last_leader_answer_at_{time_point::min() + std::chrono::hours{1}};
   time_point pinged_at_{};
-  time_point tick_due_{};
-  time_point asked_peers_at_{};
+  time_point next_tick_at_{};
+  time_point peers_queried_at_{};
   time_point claims_read_at_{};
-  time_point offered_at_{};         ///< when leadership was last offered to larger processes
-  std::uint64_t doubted_epoch_{0};  ///< the newest epoch for which `leader_doubted` was logged
+  time_point offered_at_{};           ///< when leadership was last offered to larger processes
+  std::uint64_t suspected_epoch_{0};  ///< the newest epoch for which `leader_doubted` was logged
   /// Start of the last completed query of peers, in which each has answered or timed out.
-  time_point asked_all_at_{};
-  std::size_t under_way_{0};
+  time_point completed_peer_query_at_{};
+  std::size_t calls_in_flight_{0};
 };
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/peer_choice.cc
+++ b/src/rosearch/cell/peer_choice.cc
@@ -43,7 +43,7 @@
   return chosen;
 }
 
-std::size_t RelaysFor(std::size_t workers) {
+std::size_t RelayCount(std::size_t workers) {
   if (workers <= kMaxUnrelayedWorkers) {
     return 0;
   }
--- a/src/rosearch/cell/peer_choice.h
+++ b/src/rosearch/cell/peer_choice.h
@@ -20,7 +20,7 @@
 
 /// @return the number of relays for a leader of this many workers; 0: the leader contacts its
 ///         workers itself, which costs less in total.
-[[nodiscard]] std::size_t RelaysFor(std::size_t workers);
+[[nodiscard]] std::size_t RelayCount(std::size_t workers);
 
 }  // namespace rosearch::cell
 
--- a/src/rosearch/cell/ports.h
+++ b/src/rosearch/cell/ports.h
@@ -73,7 +73,7 @@
                               const sched::advice_query& query, std::uint64_t fence) {
   ports.Append(which, records, proof, at, append_callback{});
   ports.Read(which, from, wait, log_callback{});
-  ports.Newest(which, text, newest_callback{});
+  ports.ReadNewest(which, text, newest_callback{});
   ports.Start(start, fence, start_callback{});
   ports.Stop(stop, fence, stop_callback{});
   ports.Pace(pace, fence);
@@ -87,7 +87,7 @@
   { Ports::EncodeWaiting(std::size_t{}) } -> std::same_as<std::string>;
   { Ports::IsJobId(std::string_view{}) } -> std::same_as<bool>;
   {
-    Ports::CallerPatience(std::map<std::string, std::string>{})
+    Ports::CallerTimeout(std::map<std::string, std::string>{})
     } -> std::same_as<std::optional<duration>>;
 };
 
--- a/src/rosearch/cell/store_types.h
+++ b/src/rosearch/cell/store_types.h
@@ -25,11 +25,11 @@
 /// The outcome of an append.
 enum class append_outcome : std::uint8_t {
   kStored,
-  kNotStored,      ///< the store reported that nothing was written
-  kFenced,         ///< a writer with a higher epoch has already appended
-  kOutOfSequence,  ///< the store expects `append_answer::next_sequence`
-  kMoved,          ///< the end of the partition isn't the offset in the condition
-  kUnknown,        ///< lost answer: it may be stored, now or seconds later
+  kNotStored,       ///< the store reported that nothing was written
+  kFenced,          ///< a writer with a higher epoch has already appended
+  kOutOfSequence,   ///< the store expects `append_answer::next_sequence`
+  kOffsetMismatch,  ///< the end of the partition isn't the offset in the condition
+  kUnknown,         ///< lost answer: it may be stored, now or seconds later
 };
 
 struct append_answer {
--- a/test/rosearch/cell/fake_ports.h
+++ b/test/rosearch/cell/fake_ports.h
@@ -62,7 +62,7 @@
     page.next = from;
     Later(std::max<duration>(wait, milliseconds{5}), [done, page] { done(page); });
   }
-  void Newest(stream which, const std::string&, const newest_callback& done) {
+  void ReadNewest(stream which, const std::string&, const newest_callback& done) {
     newest_page page;
     if (which == stream::kConfiguration) {
       page.records = {{"config", "1"}};
@@ -129,7 +129,7 @@
   }
   static std::string EncodeWaiting(std::size_t jobs) { return std::to_string(jobs); }
   static bool IsJobId(std::string_view text) { return !text.empty(); }
-  static std::optional<duration> CallerPatience(const std::map<std::string, std::string>&) {
+  static std::optional<duration> CallerTimeout(const std::map<std::string, std::string>&) {
     return std::nullopt;
   }
 
--- a/test/rosearch/cell/node_test.cc
+++ b/test/rosearch/cell/node_test.cc
@@ -27,7 +27,7 @@
     const std::scoped_lock lock{mutex_};
     ++append_count_;
     if (at != records_.size()) {
-      return {append_outcome::kMoved, 0, 0};
+      return {append_outcome::kOffsetMismatch, 0, 0};
     }
     records_.push_back(record);
     return {append_outcome::kStored, at, 0};
@@ -83,9 +83,9 @@
       done(page);
     });
   }
-  void Newest(stream which, const std::string& after, const newest_callback& done) {
+  void ReadNewest(stream which, const std::string& after, const newest_callback& done) {
     if (which != stream::kClaims) {
-      fake_ports::Newest(which, after, done);
+      fake_ports::ReadNewest(which, after, done);
       return;
     }
     newest_page page;
@@ -149,16 +149,17 @@
 
   /// @return whether the process leads and is ready, read on its main thread.
   [[nodiscard]] bool Leads() {
-    return OnThread(
-        [this] { return node_->Ready() && node_->Dump().find("leading=1") != std::string::npos; });
+    return OnThread([this] {
+      return node_->IsReady() && node_->Dump().find("leading=1") != std::string::npos;
+    });
   }
   /// @return whether the process reaches its workers through relays.
   [[nodiscard]] bool HasRelays() {
     return OnThread([this] { return client_.HasRelays(); });
   }
   /// @return whether the process would answer callers.
-  [[nodiscard]] bool Ready() {
-    return OnThread([this] { return node_->Ready(); });
+  [[nodiscard]] bool IsReady() {
+    return OnThread([this] { return node_->IsReady(); });
   }
   /// @return whether the process logged the event.
   [[nodiscard]] bool Logged(const std::string& event) {
@@ -179,7 +180,7 @@
       call.path = "/jobs/" + id;
       call.headers["host"] = "host";
       call.body = "job";
-      node_->Take(call, [answered](const http_response& response) {
+      node_->HandleCall(call, [answered](const http_response& response) {
         answered->set_value(response.status);
       });
     });
@@ -218,7 +219,7 @@
         WaitUntil([this] { return processes[0]->Leads(); });
       }
     }
-    WaitUntil([this] { return processes[1]->Ready() && processes[2]->Ready(); });
+    WaitUntil([this] { return processes[1]->IsReady() && processes[2]->IsReady(); });
     std::this_thread::sleep_for(milliseconds{500});
   }
 
@@ -333,7 +334,7 @@
   cell_of_three::WaitUntil([&] { return leader->Leads(); });
   constexpr std::uint32_t kSmall = 100;
   process small{claims, "127.0.0.1:47312", {"127.0.0.1:47311"}, 2, kSmall};
-  cell_of_three::WaitUntil([&] { return small.Ready(); });
+  cell_of_three::WaitUntil([&] { return small.IsReady(); });
   const int before = claims.AppendCount();
   SECTION("not while it is silent") {
     claims.Silence();
@@ -391,7 +392,7 @@
   cell.processes[1]->Resume();
   std::this_thread::sleep_for(milliseconds{700});
   CHECK(cell.processes[0]->Leads());
-  CHECK(cell.processes[1]->Ready());
+  CHECK(cell.processes[1]->IsReady());
 }
 
 }  // namespace rosearch::cell
--- a/test/rosearch/cell/peer_choice_test.cc
+++ b/test/rosearch/cell/peer_choice_test.cc
@@ -54,9 +54,9 @@
 }
 
 TEST_CASE("the number of relays grows with the number of workers") {
-  CHECK(RelaysFor(100) == 0);
-  CHECK(RelaysFor(540) == 4);
-  CHECK(RelaysFor(3'000) == 12);
+  CHECK(RelayCount(100) == 0);
+  CHECK(RelayCount(540) == 4);
+  CHECK(RelayCount(3'000) == 12);
 }
 
 }  // namespace rosearch::cell
