--- a/src/rosearch/cell/advice_desk.cc
+++ b/src/rosearch/cell/advice_dispatcher.cc
@@ -1,4 +1,4 @@
-#include "rosearch/cell/advice_desk.h"
+#include "rosearch/cell/advice_dispatcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void advice_desk::SetHelpers(const std::vector<std::string>& helpers) {
+void advice_dispatcher::SetHelpers(const std::vector<std::string>& helpers) {
   std::vector<helper> next;
   for (const auto& address : helpers) {
     const auto known = std::ranges::find(helpers_, address, &helper::address);
@@ -22,21 +22,21 @@
   helpers_ = std::move(next);
 }
 
-void advice_desk::Add(sched::advice_query query, time_point now) {
-  auto& queue = QueryCost(query) > kLong ? long_ : urgent_;
-  auto due = now + kPutOff * static_cast<int>(query.priority);
-  for (auto* const each_queue : {&urgent_, &long_}) {
-    const auto same = [&](const waiting& other) { return other.query.step == query.step; };
+void advice_dispatcher::Add(sched::advice_query query, time_point now) {
+  auto& queue = QueryCost(query) > kLongQueryCost ? long_queries_ : urgent_queries_;
+  auto due = now + kDelayPerPriorityLevel * static_cast<int>(query.priority);
+  for (auto* const each_queue : {&urgent_queries_, &long_queries_}) {
+    const auto same = [&](const queued_query& other) { return other.query.step == query.step; };
     if (const auto known = std::ranges::find_if(*each_queue, same); known != each_queue->end()) {
       due = known->due;
       each_queue->erase(known);
     }
   }
-  const auto position = std::ranges::upper_bound(queue, due, {}, &waiting::due);
+  const auto position = std::ranges::upper_bound(queue, due, {}, &queued_query::due);
   queue.insert(position, {std::move(query), due});
 }
 
-advice_desk::helper* advice_desk::FreeHelper(bool long_query, time_point now) {
+advice_dispatcher::helper* advice_dispatcher::FindFreeHelper(bool long_query, time_point now) {
   const auto urgent_only =
       helpers_.size() > 1 ? std::max<std::size_t>(1, helpers_.size() / kHelpersPerUrgentOnlyHelper)
                           : 0;
@@ -48,14 +48,14 @@
   return nullptr;
 }
 
-std::optional<advice_desk::assignment> advice_desk::Next(time_point now) {
-  for (auto* const queue : {&urgent_, &long_}) {
+std::optional<advice_dispatcher::assignment> advice_dispatcher::TakeNext(time_point now) {
+  for (auto* const queue : {&urgent_queries_, &long_queries_}) {
     if (queue->empty()) {
       continue;
     }
-    if (auto* const free = FreeHelper(queue == &long_, now)) {
+    if (auto* const free = FindFreeHelper(queue == &long_queries_, now)) {
       assignment assigned{free->address, std::move(queue->front().query)};
-      free->busy_until = now + QueryCost(assigned.query) + kAnswerGrace;
+      free->busy_until = now + QueryCost(assigned.query) + kAnswerGracePeriod;
       queue->pop_front();
       return assigned;
     }
@@ -63,7 +63,7 @@
   return std::nullopt;
 }
 
-void advice_desk::Done(const std::string& address) {
+void advice_dispatcher::ReleaseHelper(const std::string& address) {
   const auto found = std::ranges::find(helpers_, address, &helper::address);
   if (found != helpers_.end()) {
     found->busy_until = time_point{};
--- a/src/rosearch/cell/advice_desk.h
+++ b/src/rosearch/cell/advice_dispatcher.h
@@ -1,5 +1,5 @@
-#ifndef ROSEARCH_CELL_ADVICE_DESK_H_
-#define ROSEARCH_CELL_ADVICE_DESK_H_
+#ifndef ROSEARCH_CELL_ADVICE_DISPATCHER_H_
+#define ROSEARCH_CELL_ADVICE_DISPATCHER_H_
 
 #include <cstddef>
 #include <deque>
@@ -23,7 +23,7 @@
 /// Queries are sent in the order of their due time: the time of arrival plus a delay per level of
 /// priority. Strict priority order starves the lowest priority, because steps query again each time
 /// their tickets expire: on a replayed day, 130 queries waited for 30 s and more.
-class advice_desk {
+class advice_dispatcher {
  public:
   /// A query and the helper that sends it.
   struct assignment {
@@ -40,42 +40,44 @@
   void Add(sched::advice_query query, time_point now);
 
   /// @return the next query that a free helper can send; empty if there is none.
-  [[nodiscard]] std::optional<assignment> Next(time_point now);
+  [[nodiscard]] std::optional<assignment> TakeNext(time_point now);
 
   /// Marks a helper as free after its query was answered or timed out.
-  void Done(const std::string& helper);
+  void ReleaseHelper(const std::string& helper);
 
   /// @return the number of queued queries.
-  [[nodiscard]] std::size_t Waiting() const { return urgent_.size() + long_.size(); }
+  [[nodiscard]] std::size_t CountQueued() const {
+    return urgent_queries_.size() + long_queries_.size();
+  }
 
   /// A query with a higher cost is long. Lies between the costs of urgent work (25 ms) and long
   /// work (half a second).
-  static constexpr duration kLong = std::chrono::milliseconds{120};
+  static constexpr duration kLongQueryCost = std::chrono::milliseconds{120};
 
   /// Delay of the due time per level of priority. Matches the duration of a long query, because a
   /// query in flight can hold up a more urgent one for that long anyway.
-  static constexpr duration kPutOff = std::chrono::milliseconds{600};
+  static constexpr duration kDelayPerPriorityLevel = std::chrono::milliseconds{600};
 
   /// Grace period after the expected duration of a query. A helper that has not answered by then
   /// counts as free again, so that a lost answer does not block it for good. Longer than the
   /// timeout of the exchange itself, 0.84 s.
-  static constexpr duration kAnswerGrace = std::chrono::milliseconds{1'200};
+  static constexpr duration kAnswerGracePeriod = std::chrono::milliseconds{1'200};
 
  private:
   struct helper {
     std::string address;
     time_point busy_until{};
   };
-  struct waiting {
+  struct queued_query {
     sched::advice_query query;
     time_point due{};
   };
-  using queue = std::deque<waiting>;
-  [[nodiscard]] helper* FreeHelper(bool long_query, time_point now);
+  using queue = std::deque<queued_query>;
+  [[nodiscard]] helper* FindFreeHelper(bool long_query, time_point now);
 
   std::vector<helper> helpers_;
-  queue urgent_;
-  queue long_;
+  queue urgent_queries_;
+  queue long_queries_;
 };
 
 }  // namespace rosearch::cell
--- a/src/rosearch/cell/fwd.h
+++ b/src/rosearch/cell/fwd.h
@@ -3,7 +3,7 @@
 
 namespace rosearch::cell {
 
-class advice_desk;
+class advice_dispatcher;
 class election;
 class peer_link;
 class relayed_client;
--- a/src/rosearch/cell/internal/leader_orders.h
+++ b/src/rosearch/cell/internal/leader_orders.h
@@ -134,13 +134,13 @@
 
 template <typename Ports>
 void leader<Ports>::AskForAdvice() {
-  while (auto next = advice_.Next(SteadyNow())) {
+  while (auto next = advice_.TakeNext(SteadyNow())) {
     const auto asked_at = SteadyNow();
     const auto& request = *next;
     ports_.Advise(request.helper, request.query,
                   Bind([asked = request, asked_at](
                            leader& self, const std::vector<sched::advised_worker>* allowed) {
-                    self.advice_.Done(asked.helper);
+                    self.advice_.ReleaseHelper(asked.helper);
                     self.metrics_.Observe("rosearch_advice_seconds", SteadyNow() - asked_at);
                     self.scheduler_.OnAdvice(asked.query, allowed, Now());
                     self.PostPump();
--- a/src/rosearch/cell/internal/leader_views.h
+++ b/src/rosearch/cell/internal/leader_views.h
@@ -31,7 +31,7 @@
   set("rosearch_workers_live", counts.workers_live);
   set("rosearch_leases_ending", counts.leases_ending);
   set("rosearch_unsettled_workers", counts.unsettled);
-  set("rosearch_advice_waiting", advice_.Waiting());
+  set("rosearch_advice_waiting", advice_.CountQueued());
   set("rosearch_callers_waiting", callers_.size());
   set("rosearch_batches", batches_.size());
   metrics_.SetTotal("rosearch_placement_attempts_total", counts.placement_attempts);
--- a/src/rosearch/cell/internal/node_callers.h
+++ b/src/rosearch/cell/internal/node_callers.h
@@ -122,7 +122,7 @@
                  .Add("heard_ms_ago", now - election_.LastAnswerAt())
                  .Add("left_ms", time_left));
   constexpr duration kAttemptTimeout = std::chrono::milliseconds{1'000};
-  peers_.Ask(
+  peers_.SendRequest(
       election_.KnownLeader().address, std::move(frame),
       std::min(call->answer_deadline, now + kAttemptTimeout),
       [this, call, on_answer](const wire::peer_frame* answer) {
--- a/src/rosearch/cell/internal/node_leadership.h
+++ b/src/rosearch/cell/internal/node_leadership.h
@@ -197,7 +197,7 @@
   wire::peer_frame frame;
   frame.set_epoch(epoch);
   frame.mutable_notice()->set_resigning(true);
-  peers_.Tell(address, std::move(frame));
+  peers_.SendMessage(address, std::move(frame));
 }
 
 // Handles a restart of all processes in which the small ones are back first. Without the offer, one
@@ -237,7 +237,7 @@
       wire::peer_frame frame;
       frame.set_epoch(leader_->epoch());
       frame.mutable_notice()->set_address(peers_.address());
-      peers_.Tell(address, std::move(frame));
+      peers_.SendMessage(address, std::move(frame));
     }
   }
 }
@@ -247,7 +247,7 @@
   if (frame.has_ping()) {
     AnswerPing(frame);
   } else if (frame.has_relay()) {
-    outside_.Serve(frame);
+    outside_.ServeRelayCall(frame);
   } else if (frame.has_call()) {
     AnswerCall(frame);
   } else if (frame.has_query()) {
@@ -294,7 +294,7 @@
     peers_.WatchConnection(claimed.address);
   }
   if (!former.empty() && former != claimed.address) {
-    peers_.Abandon(former);
+    peers_.EndRequests(former);
   }
 }
 
@@ -415,19 +415,20 @@
     wire::peer_frame frame;
     frame.set_epoch(election_.KnownLeader().epoch);
     frame.mutable_query();
-    peers_.Ask(address, std::move(frame), now + kQueryTimeout,
-               [this, pending, now](const wire::peer_frame* answer) {
-                 const bool reaches_leader = answer != nullptr && answer->view().heard() &&
-                                             answer->epoch() >= election_.KnownLeader().epoch;
-                 if (reaches_leader) {
-                   const std::chrono::milliseconds ago{answer->view().heard_ms_ago()};
-                   election_.OnPeerReport(SteadyNow() - ago);
-                 }
-                 if (--*pending == 0) {
-                   peer_query_in_flight_ = false;
-                   completed_peer_query_at_ = now;
-                 }
-               });
+    peers_.SendRequest(address, std::move(frame), now + kQueryTimeout,
+                       [this, pending, now](const wire::peer_frame* answer) {
+                         const bool reaches_leader =
+                             answer != nullptr && answer->view().heard() &&
+                             answer->epoch() >= election_.KnownLeader().epoch;
+                         if (reaches_leader) {
+                           const std::chrono::milliseconds ago{answer->view().heard_ms_ago()};
+                           election_.OnPeerReport(SteadyNow() - ago);
+                         }
+                         if (--*pending == 0) {
+                           peer_query_in_flight_ = false;
+                           completed_peer_query_at_ = now;
+                         }
+                       });
   }
 }
 
--- a/src/rosearch/cell/internal/node_pings.h
+++ b/src/rosearch/cell/internal/node_pings.h
@@ -21,13 +21,14 @@
     *frame.mutable_ping()->mutable_member() = Self();
     frame.mutable_ping()->set_members_version(members_version_);
     const auto asked_at = SteadyNow();
-    peers_.Ask(target, std::move(frame), asked_at + kPingTimeout,
-               [this, asked_at](const wire::peer_frame* answer) {
-                 if (answer != nullptr) {
-                   metrics_.Observe("rosearch_peer_round_trip_seconds", SteadyNow() - asked_at);
-                   OnPong(*answer);
-                 }
-               });
+    peers_.SendRequest(target, std::move(frame), asked_at + kPingTimeout,
+                       [this, asked_at](const wire::peer_frame* answer) {
+                         if (answer != nullptr) {
+                           metrics_.Observe("rosearch_peer_round_trip_seconds",
+                                            SteadyNow() - asked_at);
+                           OnPong(*answer);
+                         }
+                       });
   }
 }
 
@@ -126,7 +127,7 @@
   if (frame.epoch() == leader_->epoch()) {
     leader_->OnPeerHeartbeat();
   }
-  if (!peers_.RepliesTo(frame)) {
+  if (!peers_.CanReplyTo(frame)) {
     peers_.Answer(frame, MakePongWithMembers());
   }
 }
--- a/src/rosearch/cell/internal/node_views.h
+++ b/src/rosearch/cell/internal/node_views.h
@@ -26,7 +26,7 @@
 void node<Ports>::FillMetrics() {
   metrics_.Set("rosearch_leading", leader_ ? 1 : 0);
   metrics_.Set("rosearch_peers", static_cast<double>(members_.size()));
-  metrics_.SetTotal("rosearch_relayed_total", outside_.Relayed());
+  metrics_.SetTotal("rosearch_relayed_total", outside_.CountRelayedExchanges());
   if (leader_) {
     leader_->FillMetrics();
   }
--- a/src/rosearch/cell/leader.h
+++ b/src/rosearch/cell/leader.h
@@ -19,7 +19,7 @@
 #include <variant>
 #include <vector>
 
-#include "rosearch/cell/advice_desk.h"
+#include "rosearch/cell/advice_dispatcher.h"
 #include "rosearch/cell/cell_metrics.h"
 #include "rosearch/cell/ports.h"
 #include "rosearch/core/time.h"
@@ -321,7 +321,7 @@
   metric_set& metrics_;
   leader_hooks hooks_;
   sched::scheduler scheduler_;
-  advice_desk advice_;
+  advice_dispatcher advice_;
   boost::asio::steady_timer tick_timer_;
   boost::asio::steady_timer pass_timer_;
   boost::asio::steady_timer writer_timer_;
--- a/src/rosearch/cell/peer_link.cc
+++ b/src/rosearch/cell/peer_link.cc
@@ -34,18 +34,19 @@
 }  // namespace
 
 peer_link::peer_link(boost::asio::io_context& io, const std::string& address,
-                     std::uint64_t incarnation, receive on_message, broken on_broken)
+                     std::uint64_t incarnation, message_callback on_message,
+                     connection_lost_callback on_connection_lost)
     : io_{io},
       on_message_{std::move(on_message)},
-      on_broken_{std::move(on_broken)},
+      on_connection_lost_{std::move(on_connection_lost)},
       next_exchange_{incarnation},
-      collect_timer_{io} {
+      bundle_timer_{io} {
   transport_ = std::make_unique<peer_transport>(
-      address, [this](const std::string& bytes) { HandOver(bytes); }, kTransportOptions,
+      address, [this](const std::string& bytes) { OnTransportMessage(bytes); }, kTransportOptions,
       [this, alive = std::weak_ptr<bool>{alive_}](const std::string& to) {
         boost::asio::post(io_, [this, alive, to] {
-          if (!alive.expired() && on_broken_) {
-            on_broken_(to);
+          if (!alive.expired() && on_connection_lost_) {
+            on_connection_lost_(to);
           }
         });
       });
@@ -55,7 +56,7 @@
 
 const std::string& peer_link::address() const { return transport_->address(); }
 
-void peer_link::Tell(const std::string& to, wire::peer_frame frame) {
+void peer_link::SendMessage(const std::string& to, wire::peer_frame frame) {
   frame.set_from(address());
   transport_->Send(to, frame.SerializeAsString());
 }
@@ -65,80 +66,80 @@
   return next_exchange_;
 }
 
-void peer_link::Collect(const std::string& to, wire::peer_frame frame) {
-  if (collected_.empty()) {
-    collect_timer_.expires_after(kCollect);
-    collect_timer_.async_wait(
+void peer_link::AddToBundle(const std::string& to, wire::peer_frame frame) {
+  if (bundles_.empty()) {
+    bundle_timer_.expires_after(kBundleDelay);
+    bundle_timer_.async_wait(
         [this, alive = std::weak_ptr<bool>{alive_}](const boost::system::error_code& failed) {
           if (!failed && !alive.expired()) {
-            SendCollected();
+            SendBundles();
           }
         });
   }
-  *collected_[to].mutable_bundle()->add_frames() = std::move(frame);
+  *bundles_[to].mutable_bundle()->add_frames() = std::move(frame);
 }
 
-void peer_link::SendCollected() {
-  for (auto& [to, bundle] : std::exchange(collected_, {})) {
-    Tell(to, std::move(bundle));
+void peer_link::SendBundles() {
+  for (auto& [to, bundle] : std::exchange(bundles_, {})) {
+    SendMessage(to, std::move(bundle));
   }
 }
 
-void peer_link::AskOnce(const std::string& to, wire::peer_frame frame, time_point answer_by,
-                        answer_callback done) {
+void peer_link::SendRequestOnce(const std::string& to, wire::peer_frame frame, time_point deadline,
+                                answer_callback done) {
   const auto exchange = NextExchange();
   frame.set_exchange(exchange);
   frame.set_from(address());
   frame.set_once(true);
-  Collect(to, std::move(frame));
-  questions_[exchange] = std::make_unique<question>(
-      question{to, {}, answer_by, std::move(done), boost::asio::steady_timer{io_}});
-  Wait(exchange);
+  AddToBundle(to, std::move(frame));
+  pending_requests_[exchange] = std::make_unique<pending_request>(
+      pending_request{to, {}, deadline, std::move(done), boost::asio::steady_timer{io_}});
+  ScheduleRetry(exchange);
 }
 
-void peer_link::Ask(const std::string& to, wire::peer_frame frame, time_point answer_by,
-                    answer_callback done) {
+void peer_link::SendRequest(const std::string& to, wire::peer_frame frame, time_point deadline,
+                            answer_callback done) {
   const auto exchange = NextExchange();
   frame.set_exchange(exchange);
   frame.set_from(address());
   transport_->Send(to, frame.SerializeAsString());
-  questions_[exchange] = std::make_unique<question>(
-      question{to, std::move(frame), answer_by, std::move(done), boost::asio::steady_timer{io_}});
-  Wait(exchange);
+  pending_requests_[exchange] = std::make_unique<pending_request>(pending_request{
+      to, std::move(frame), deadline, std::move(done), boost::asio::steady_timer{io_}});
+  ScheduleRetry(exchange);
 }
 
-void peer_link::Wait(std::uint64_t exchange) {
-  auto& pending = *questions_[exchange];
+void peer_link::ScheduleRetry(std::uint64_t exchange) {
+  auto& pending = *pending_requests_[exchange];
   const bool repeats = pending.frame.exchange() != 0;
   const auto next =
-      repeats ? std::min(pending.answer_by, SteadyNow() + kRepeat) : pending.answer_by;
+      repeats ? std::min(pending.deadline, SteadyNow() + kRetryInterval) : pending.deadline;
   pending.timer.expires_after(next - SteadyNow());
   pending.timer.async_wait([this, exchange, alive = std::weak_ptr<bool>{alive_}](
                                const boost::system::error_code& failed) {
     if (failed || alive.expired()) {
       return;
     }
-    const auto found = questions_.find(exchange);
-    if (found == questions_.end()) {
+    const auto found = pending_requests_.find(exchange);
+    if (found == pending_requests_.end()) {
       return;
     }
-    if (SteadyNow() >= found->second->answer_by) {
+    if (SteadyNow() >= found->second->deadline) {
       const auto ended = std::move(found->second);
-      questions_.erase(found);
+      pending_requests_.erase(found);
       ended->done(nullptr);
       return;
     }
     transport_->Send(found->second->to, found->second->frame.SerializeAsString());
-    Wait(exchange);
+    ScheduleRetry(exchange);
   });
 }
 
-void peer_link::Abandon(const std::string& to) {
+void peer_link::EndRequests(const std::string& to) {
   std::vector<answer_callback> ended;
-  for (auto each = questions_.begin(); each != questions_.end();) {
+  for (auto each = pending_requests_.begin(); each != pending_requests_.end();) {
     if (each->second->to == to) {
       ended.push_back(std::move(each->second->done));
-      each = questions_.erase(each);
+      each = pending_requests_.erase(each);
     } else {
       ++each;
     }
@@ -152,27 +153,27 @@
   answer.set_exchange(request.exchange());
   answer.set_from(address());
   if (request.once()) {
-    Collect(request.from(), std::move(answer));
+    AddToBundle(request.from(), std::move(answer));
     return;
   }
   auto bytes = answer.SerializeAsString();
-  const auto stored = answers_.find(DeduplicationKey(request));
-  if (stored != answers_.end()) {
+  const auto stored = stored_answers_.find(DeduplicationKey(request));
+  if (stored != stored_answers_.end()) {
     stored->second = bytes;
   }
   transport_->Send(request.from(), std::move(bytes));
 }
 
-bool peer_link::IsRepeat(const wire::peer_frame& request) {
+bool peer_link::CheckDuplicate(const wire::peer_frame& request) {
   const auto now = SteadyNow();
-  while (!received_.empty() && received_.front().forget_at <= now) {
-    answers_.erase(received_.front().key);
-    received_.pop_front();
+  while (!received_requests_.empty() && received_requests_.front().expires_at <= now) {
+    stored_answers_.erase(received_requests_.front().key);
+    received_requests_.pop_front();
   }
   auto key = DeduplicationKey(request);
-  const auto [stored, is_new] = answers_.try_emplace(key);
+  const auto [stored, is_new] = stored_answers_.try_emplace(key);
   if (is_new) {
-    received_.push_back({std::move(key), now + kDeduplicationRetention});
+    received_requests_.push_back({std::move(key), now + kDeduplicationRetention});
   } else if (!stored->second.empty()) {
     transport_->Send(request.from(), stored->second);
   }
@@ -188,12 +189,12 @@
   ping_reply_until_ = until;
 }
 
-bool peer_link::RepliesTo(const wire::peer_frame& ping) const {
+bool peer_link::CanReplyTo(const wire::peer_frame& ping) const {
   const std::scoped_lock lock{reply_mutex_};
-  return RepliesToLocked(ping);
+  return CanReplyToLocked(ping);
 }
 
-bool peer_link::RepliesToLocked(const wire::peer_frame& ping) const {
+bool peer_link::CanReplyToLocked(const wire::peer_frame& ping) const {
   return ping_reply_ && ping_members_ && SteadyNow() < ping_reply_until_ &&
          ping.epoch() == ping_reply_->epoch();
 }
@@ -205,7 +206,7 @@
 
 void peer_link::ReplyToPing(const wire::peer_frame& ping) {
   const std::scoped_lock lock{reply_mutex_};
-  if (!RepliesToLocked(ping)) {
+  if (!CanReplyToLocked(ping)) {
     return;
   }
   auto reply = *ping_reply_;
@@ -217,7 +218,7 @@
   transport_->Send(ping.from(), reply.SerializeAsString());
 }
 
-void peer_link::HandOver(const std::string& bytes) {
+void peer_link::OnTransportMessage(const std::string& bytes) {
   auto frame = std::make_shared<wire::peer_frame>();
   if (!frame->ParseFromString(bytes)) {
     return;  // malformed, not from a peer; no exchange depends on a single message
@@ -227,33 +228,33 @@
   }
   boost::asio::post(io_, [this, alive = std::weak_ptr<bool>{alive_}, frame] {
     if (!alive.expired()) {
-      Receive(*frame);
+      HandleFrame(*frame);
     }
   });
 }
 
-void peer_link::Receive(const wire::peer_frame& frame) {
+void peer_link::HandleFrame(const wire::peer_frame& frame) {
   if (frame.has_bundle()) {
     for (const auto& each : frame.bundle().frames()) {
-      Receive(each);
+      HandleFrame(each);
     }
     return;
   }
   const bool is_answer =
       frame.has_pong() || frame.has_view() || frame.has_answer() || frame.has_relayed();
   if (!is_answer) {
-    const bool is_duplicate = NeedsDeduplication(frame) && IsRepeat(frame);
+    const bool is_duplicate = NeedsDeduplication(frame) && CheckDuplicate(frame);
     if (!is_duplicate) {
       on_message_(frame);
     }
     return;
   }
-  const auto found = questions_.find(frame.exchange());
-  if (found == questions_.end()) {
+  const auto found = pending_requests_.find(frame.exchange());
+  if (found == pending_requests_.end()) {
     return;
   }
   const auto pending = std::move(found->second);
-  questions_.erase(found);
+  pending_requests_.erase(found);
   pending->done(&frame);
 }
 
--- a/src/rosearch/cell/peer_link.h
+++ b/src/rosearch/cell/peer_link.h
@@ -26,9 +26,9 @@
   /// Receives the answer, or null if none arrived before the deadline.
   using answer_callback = std::function<void(const wire::peer_frame*)>;
   /// Receives a message that is not an answer to a request of this process.
-  using receive = std::function<void(const wire::peer_frame&)>;
+  using message_callback = std::function<void(const wire::peer_frame&)>;
   /// Receives the address of the watched peer after its connection was lost.
-  using broken = std::function<void(const std::string&)>;
+  using connection_lost_callback = std::function<void(const std::string&)>;
 
   /// @param address      host:port to bind.
   /// @param incarnation  random number drawn at each start of the process. Requests are numbered
@@ -38,30 +38,30 @@
   /// @param on_message   called for each message that is not an answer.
   /// @param on_connection_lost  called after the connection to the watched peer was lost.
   peer_link(boost::asio::io_context& io, const std::string& address, std::uint64_t incarnation,
-            receive on_message, broken on_broken = {});
+            message_callback on_message, connection_lost_callback on_connection_lost = {});
   ~peer_link();
   peer_link(const peer_link&) = delete;
   peer_link& operator=(const peer_link&) = delete;
 
   /// Sends a message that expects no answer.
-  void Tell(const std::string& to, wire::peer_frame frame);
+  void SendMessage(const std::string& to, wire::peer_frame frame);
 
-  /// Sends a request and repeats it every `kRepeat` until it is answered, because the transport
-  /// drops messages to a peer while the connection is being established.
+  /// Sends a request and repeats it every `kRetryInterval` until it is answered, because the
+  /// transport drops messages to a peer while the connection is being established.
   /// @param deadline  time after which `done` is called with null.
-  void Ask(const std::string& to, wire::peer_frame frame, time_point answer_by,
-           answer_callback done);
+  void SendRequest(const std::string& to, wire::peer_frame frame, time_point deadline,
+                   answer_callback done);
 
   /// Sends a request once, bundled with other messages to the same peer. For requests that are
   /// cheaper to lose than to repeat. The answer is bundled as well.
   /// @param deadline  time after which `done` is called with null.
-  void AskOnce(const std::string& to, wire::peer_frame frame, time_point answer_by,
-               answer_callback done);
+  void SendRequestOnce(const std::string& to, wire::peer_frame frame, time_point deadline,
+                       answer_callback done);
 
   /// Ends all pending requests to a failed peer by calling their callbacks with null, so that the
   /// senders can try another peer at once. Otherwise a request forwarded to a failed leader waits a
   /// second longer.
-  void Abandon(const std::string& to);
+  void EndRequests(const std::string& to);
 
   /// Watches the connection to one peer; replaces the peer watched before.
   void WatchConnection(const std::string& to) { transport_->WatchConnection(to); }
@@ -80,61 +80,61 @@
   /// @param members  a pong with the members and their version.
   void SetPingMembers(std::unique_ptr<wire::peer_frame> members);
   /// @return whether the transport's thread answers this ping.
-  [[nodiscard]] bool RepliesTo(const wire::peer_frame& ping) const;
+  [[nodiscard]] bool CanReplyTo(const wire::peer_frame& ping) const;
 
   /// @return the number of received requests kept for deduplication.
-  [[nodiscard]] std::size_t Remembered() const { return received_.size(); }
+  [[nodiscard]] std::size_t CountStoredRequests() const { return received_requests_.size(); }
 
   /// @return the bound host:port.
   [[nodiscard]] const std::string& address() const;
 
   /// Interval at which an unanswered request is sent again. Three times a slow round trip across
   /// failure domains, so that requests with an answer in flight are rarely repeated.
-  static constexpr duration kRepeat = std::chrono::milliseconds{150};
+  static constexpr duration kRetryInterval = std::chrono::milliseconds{150};
 
   /// Delay for which messages to the same peer are collected into one bundle.
-  static constexpr duration kCollect = std::chrono::milliseconds{4};
+  static constexpr duration kBundleDelay = std::chrono::milliseconds{4};
 
  private:
-  struct question {
+  struct pending_request {
     std::string to;
     wire::peer_frame frame;
-    time_point answer_by;
+    time_point deadline;
     answer_callback done;
     boost::asio::steady_timer timer;
   };
   /// A received request kept for deduplication.
-  struct received {
+  struct received_request {
     std::string key;
-    time_point forget_at;
+    time_point expires_at;
   };
-  void Wait(std::uint64_t exchange);
+  void ScheduleRetry(std::uint64_t exchange);
   [[nodiscard]] std::uint64_t NextExchange();
-  /// Adds a message to the bundle for a peer, which is sent after `kCollect`.
-  void Collect(const std::string& to, wire::peer_frame frame);
-  void SendCollected();
-  [[nodiscard]] bool RepliesToLocked(const wire::peer_frame& ping) const;
+  /// Adds a message to the bundle for a peer, which is sent after `kBundleDelay`.
+  void AddToBundle(const std::string& to, wire::peer_frame frame);
+  void SendBundles();
+  [[nodiscard]] bool CanReplyToLocked(const wire::peer_frame& ping) const;
   /// Answers a ping on the transport's own thread if a valid reply is set.
   void ReplyToPing(const wire::peer_frame& ping);
   /// Handles a message on the transport's own thread.
-  void HandOver(const std::string& bytes);
-  void Receive(const wire::peer_frame& frame);
+  void OnTransportMessage(const std::string& bytes);
+  void HandleFrame(const wire::peer_frame& frame);
   /// Records a received request, or sends the stored answer again if it is a duplicate.
   /// @return whether the request is a duplicate.
-  [[nodiscard]] bool IsRepeat(const wire::peer_frame& request);
+  [[nodiscard]] bool CheckDuplicate(const wire::peer_frame& request);
 
   boost::asio::io_context& io_;
-  receive on_message_;
-  broken on_broken_;
+  message_callback on_message_;
+  connection_lost_callback on_connection_lost_;
   std::uint64_t next_exchange_;
-  std::unordered_map<std::uint64_t, std::unique_ptr<question>> questions_;
+  std::unordered_map<std::uint64_t, std::unique_ptr<pending_request>> pending_requests_;
   // A repeated request is not executed again: its stored answer is sent again, if there is one.
   // Otherwise a lost answer would lead to an order being executed twice.
   // Keyed by sender and request number; an empty value means not answered yet.
-  std::unordered_map<std::string, std::string> answers_;
-  std::deque<received> received_;
-  std::unordered_map<std::string, wire::peer_frame> collected_;  ///< by peer
-  boost::asio::steady_timer collect_timer_;
+  std::unordered_map<std::string, std::string> stored_answers_;
+  std::deque<received_request> received_requests_;
+  std::unordered_map<std::string, wire::peer_frame> bundles_;  ///< by peer
+  boost::asio::steady_timer bundle_timer_;
   std::shared_ptr<bool> alive_{std::make_shared<bool>(true)};
   mutable std::mutex reply_mutex_;
   std::unique_ptr<wire::peer_frame> ping_reply_;    ///< guarded by `reply_mutex_`, as the next two
--- a/src/rosearch/cell/relayed_client.cc
+++ b/src/rosearch/cell/relayed_client.cc
@@ -83,10 +83,10 @@
 
 struct relayed_client::exchange {
   http_request request;
-  reach options;
+  route_options options;
   http_callback done;
   boost::asio::steady_timer hedge_timer;  ///< fires when the next route is due
-  std::deque<way> routes;                 ///< not tried yet
+  std::deque<route> routes;               ///< not tried yet
   std::vector<std::string> peers_tried{};
   std::uint32_t in_flight{0};
   time_point last_tried_at{};
@@ -107,7 +107,9 @@
   [[nodiscard]] bool IsFirstAttempt() const { return !direct_tried && peers_tried.empty(); }
 
   /// @return whether a copy may be sent while another one is in flight.
-  [[nodiscard]] bool MayHedge() const { return options.by_peer && options.patience > duration{}; }
+  [[nodiscard]] bool MayHedge() const {
+    return options.allow_peer && options.answer_timeout > duration{};
+  }
 
   /// Records the answer of a failed attempt.
   void RecordFailedAttempt(result<http_reply> answer) {
@@ -127,67 +129,69 @@
   }
 };
 
-void relayed_client::Send(http_request request, const reach& options, http_callback done) {
-  auto routes = WaysTo(request.address, options);
+void relayed_client::Send(http_request request, const route_options& options, http_callback done) {
+  auto routes = SelectRoutes(request.address, options);
   auto sent =
       std::make_shared<exchange>(exchange{std::move(request), options, std::move(done),
                                           boost::asio::steady_timer{io_}, std::move(routes)});
   TryNext(sent);
 }
 
-std::deque<relayed_client::way> relayed_client::WaysTo(const std::string& address,
-                                                       const reach& options) {
-  if (!options.by_peer) {
-    return {way::kDirect};
+std::deque<relayed_client::route> relayed_client::SelectRoutes(const std::string& address,
+                                                               const route_options& options) {
+  if (!options.allow_peer) {
+    return {route::kDirect};
   }
-  if (options.by_relay && !relays_.empty()) {
-    auto failed = unrelayed_.find(address);
-    if (failed != unrelayed_.end() && SteadyNow() >= failed->second) {
-      unrelayed_.erase(failed);
-      failed = unrelayed_.end();
+  if (options.allow_relay && !relays_.empty()) {
+    auto failed = relay_bypassed_until_.find(address);
+    if (failed != relay_bypassed_until_.end() && SteadyNow() >= failed->second) {
+      relay_bypassed_until_.erase(failed);
+      failed = relay_bypassed_until_.end();
     }
-    if (failed == unrelayed_.end()) {
-      return {way::kRelay, way::kDirect, way::kPeer};
+    if (failed == relay_bypassed_until_.end()) {
+      return {route::kRelay, route::kDirect, route::kPeer};
     }
   }
-  const auto direct_retry = broken_.find(address);
-  if (direct_retry == broken_.end()) {
-    return {way::kDirect, way::kPeer, way::kPeer};
+  const auto direct_retry = direct_retry_at_.find(address);
+  if (direct_retry == direct_retry_at_.end()) {
+    return {route::kDirect, route::kPeer, route::kPeer};
   }
   // Only requests that may be sent twice probe whether a failed direct route works again.
   const auto now = SteadyNow();
-  if (now < direct_retry->second || options.patience == duration{}) {
-    return {way::kPeer, way::kPeer, way::kDirect};
+  if (now < direct_retry->second || options.answer_timeout == duration{}) {
+    return {route::kPeer, route::kPeer, route::kDirect};
   }
   direct_retry->second = now + kDirectRetryInterval;
-  return {way::kDirect, way::kPeer, way::kPeer};
+  return {route::kDirect, route::kPeer, route::kPeer};
 }
 
-duration relayed_client::Patience(const exchange& sent) const {
-  if (sent.direct_tried && broken_.contains(sent.request.address)) {
+duration relayed_client::AnswerTimeout(const exchange& sent) const {
+  if (sent.direct_tried && direct_retry_at_.contains(sent.request.address)) {
     return {};  // a failed direct route is only probed; the next one is tried at once
   }
-  auto patience = sent.options.patience;
-  if (sent.options.learns) {
-    const auto known = usual_.find(sent.request.address);
-    const auto answer_time = known == usual_.end() ? kInitialAnswerTime : known->second;
-    patience =
-        std::clamp(answer_time * kHedgeDelayFactor, std::min(kMinHedgeDelay, patience), patience);
+  auto answer_timeout = sent.options.answer_timeout;
+  if (sent.options.adaptive_timeout) {
+    const auto known = smoothed_answer_times_.find(sent.request.address);
+    const auto answer_time =
+        known == smoothed_answer_times_.end() ? kInitialAnswerTime : known->second;
+    answer_timeout = std::clamp(answer_time * kHedgeDelayFactor,
+                                std::min(kMinHedgeDelay, answer_timeout), answer_timeout);
   }
-  return sent.options.wait + patience;
+  return sent.options.wait + answer_timeout;
 }
 
-void relayed_client::Learn(const exchange& sent, time_point sent_at) {
-  if (!sent.options.learns || sent.options.wait > duration{}) {
+void relayed_client::RecordAnswerTime(const exchange& sent, time_point sent_at) {
+  if (!sent.options.adaptive_timeout || sent.options.wait > duration{}) {
     return;
   }
   const auto took = std::min<duration>(SteadyNow() - sent_at, kMaxAnswerTime);
-  auto& answer_time = usual_.try_emplace(sent.request.address, kInitialAnswerTime).first->second;
+  auto& answer_time =
+      smoothed_answer_times_.try_emplace(sent.request.address, kInitialAnswerTime).first->second;
   answer_time += std::chrono::duration_cast<duration>((took - answer_time) * kNewestAnswerWeight);
 }
 
 void relayed_client::TryNext(const std::shared_ptr<exchange>& sent) {
-  const auto direct_retry = broken_.find(sent->request.address);
+  const auto direct_retry = direct_retry_at_.find(sent->request.address);
   const bool first = sent->IsFirstAttempt();
   sent->last_tried_at = SteadyNow();
   while (!sent->routes.empty()) {
@@ -195,24 +199,24 @@
     sent->routes.pop_front();
     // A stale persistent connection may be the reason why the route before failed.
     sent->request.fresh_connection =
-        !first || (chosen == way::kDirect && direct_retry != broken_.end());
-    if (chosen == way::kDirect) {
-      SendDirect(sent);
-      TryNextAfter(sent, Patience(*sent));
+        !first || (chosen == route::kDirect && direct_retry != direct_retry_at_.end());
+    if (chosen == route::kDirect) {
+      TryDirect(sent);
+      TryNextAfter(sent, AnswerTimeout(*sent));
       return;
     }
-    if (chosen == way::kRelay) {
-      if (const auto relay = RelayOf(sent->request.address); !relay.empty()) {
-        SendByRelay(sent, relay);
-        TryNextAfter(sent, Patience(*sent));
+    if (chosen == route::kRelay) {
+      if (const auto relay = SelectRelay(sent->request.address); !relay.empty()) {
+        TryRelay(sent, relay);
+        TryNextAfter(sent, AnswerTimeout(*sent));
         return;
       }
       continue;
     }
     // Peers may have left since the first route was tried.
     if (const auto peer = ChoosePeer(*sent); !peer.empty()) {
-      SendByPeer(sent, peer);
-      TryNextAfter(sent, Patience(*sent));
+      TryPeer(sent, peer);
+      TryNextAfter(sent, AnswerTimeout(*sent));
       return;
     }
   }
@@ -221,11 +225,11 @@
   }
 }
 
-void relayed_client::TryNextAfter(const std::shared_ptr<exchange>& sent, duration patience) {
+void relayed_client::TryNextAfter(const std::shared_ptr<exchange>& sent, duration answer_timeout) {
   if (!sent->MayHedge() || sent->routes.empty()) {
     return;
   }
-  sent->hedge_timer.expires_after(patience);
+  sent->hedge_timer.expires_after(answer_timeout);
   sent->hedge_timer.async_wait([this, sent](const boost::system::error_code& failed) {
     if (!failed && !sent->ended) {
       TryNextUnlessSlow(sent);
@@ -238,16 +242,16 @@
 // takes 0.1 s for each append would never catch up.
 void relayed_client::TryNextUnlessSlow(const std::shared_ptr<exchange>& sent) {
   const auto& address = sent->request.address;
-  if (broken_.contains(address)) {
+  if (direct_retry_at_.contains(address)) {
     TryNext(sent);
     return;
   }
   const auto waited = SteadyNow() - sent->last_tried_at;
-  const auto patience = Patience(*sent);
-  auto& probe = scouts_[address];
+  const auto answer_timeout = AnswerTimeout(*sent);
+  auto& probe = probes_[address];
   const auto other = probe.lock();
-  if (waited < patience) {
-    TryNextAfter(sent, patience - waited);  // the delay for this target grew meanwhile
+  if (waited < answer_timeout) {
+    TryNextAfter(sent, answer_timeout - waited);  // the delay for this target grew meanwhile
   } else if (other && other != sent && !other->ended) {
     TryNextAfter(sent, kProbeCheckInterval);
   } else {
@@ -268,7 +272,7 @@
   }
 }
 
-void relayed_client::SendDirect(const std::shared_ptr<exchange>& sent) {
+void relayed_client::TryDirect(const std::shared_ptr<exchange>& sent) {
   ++sent->in_flight;
   sent->direct_tried = true;
   const auto sent_at = SteadyNow();
@@ -276,28 +280,28 @@
     --sent->in_flight;
     sent->direct_answered = true;
     const auto& address = sent->request.address;
-    const bool refused = sent->options.refusal_may_be_ours && IsRefusal(answer);
+    const bool refused = sent->options.retry_refusal_by_peer && IsRefusal(answer);
     if (answer.has_value() && !refused) {
       // Also if a peer answered first: the direct route is slow, but works.
-      broken_.erase(address);
-      Learn(*sent, sent_at);
+      direct_retry_at_.erase(address);
+      RecordAnswerTime(*sent, sent_at);
       sent->Finish(std::move(answer));
       return;
     }
-    broken_[address] = SteadyNow() + kDirectRetryInterval;
+    direct_retry_at_[address] = SteadyNow() + kDirectRetryInterval;
     OnFailure(sent, std::move(answer));
   });
 }
 
-std::string relayed_client::RelayOf(const std::string& address) const {
+std::string relayed_client::SelectRelay(const std::string& address) const {
   // The relay that ranks highest for an address (rendezvous hashing): when a relay leaves, only its
   // addresses move.
   const auto now = SteadyNow();
   const std::string* best = nullptr;
   std::size_t best_rank = 0;
   for (const auto& relay : relays_) {
-    const auto excluded = resting_.find(relay);
-    if (excluded != resting_.end() && now < excluded->second) {
+    const auto excluded = excluded_relays_.find(relay);
+    if (excluded != excluded_relays_.end() && now < excluded->second) {
       continue;
     }
     const auto rank = RankOf(relay, address);
@@ -311,9 +315,9 @@
 
 // Handles the power loss of a relay that makes exchanges with a hundred workers. Ends all of them
 // at once; otherwise each would wait for its own timeout, and ends of tasks would be noticed late.
-void relayed_client::RestRelay(const std::string& relay) {
+void relayed_client::ExcludeRelay(const std::string& relay) {
   const auto now = SteadyNow();
-  auto& until = resting_[relay];
+  auto& until = excluded_relays_[relay];
   if (now < until) {
     return;
   }
@@ -323,46 +327,47 @@
                     .Add("relay", relay)
                     .Add("left_alone_ms", kRelayExclusion));
   }
-  peers_.Abandon(relay);
+  peers_.EndRequests(relay);
 }
 
-void relayed_client::SendByRelay(const std::shared_ptr<exchange>& sent, const std::string& relay) {
+void relayed_client::TryRelay(const std::shared_ptr<exchange>& sent, const std::string& relay) {
   sent->peers_tried.push_back(relay);
   ++sent->in_flight;
   ++relayed_;
-  peers_.AskOnce(relay, ToWire(sent->request), sent->request.answer_by + kRelayForwardingMargin,
-                 [this, sent, relay](const wire::peer_frame* frame) {
-                   --sent->in_flight;
-                   if (frame == nullptr) {
-                     if (SteadyNow() - relay_heard_[relay] >= kRelaySilenceTimeout) {
-                       RestRelay(relay);
-                     }
-                     OnFailure(sent, error{error_kind::kTimeout, "relay did not answer"});
-                     return;
-                   }
-                   relay_heard_[relay] = SteadyNow();
-                   auto answer = FromWire(frame->relayed());
-                   if (answer.has_value()) {
-                     sent->Finish(std::move(answer));
-                     return;
-                   }
-                   // The relay may be cut off from this target only.
-                   unrelayed_[sent->request.address] = SteadyNow() + kRelayExclusion;
-                   OnFailure(sent, std::move(answer));
-                 });
+  peers_.SendRequestOnce(
+      relay, ToWire(sent->request), sent->request.answer_by + kRelayForwardingMargin,
+      [this, sent, relay](const wire::peer_frame* frame) {
+        --sent->in_flight;
+        if (frame == nullptr) {
+          if (SteadyNow() - relay_answered_at_[relay] >= kRelaySilenceTimeout) {
+            ExcludeRelay(relay);
+          }
+          OnFailure(sent, error{error_kind::kTimeout, "relay did not answer"});
+          return;
+        }
+        relay_answered_at_[relay] = SteadyNow();
+        auto answer = FromWire(frame->relayed());
+        if (answer.has_value()) {
+          sent->Finish(std::move(answer));
+          return;
+        }
+        // The relay may be cut off from this target only.
+        relay_bypassed_until_[sent->request.address] = SteadyNow() + kRelayExclusion;
+        OnFailure(sent, std::move(answer));
+      });
 }
 
 std::string relayed_client::ChoosePeer(const exchange& sent) {
   const auto untried = [&](const std::string& peer) {
     return std::ranges::find(sent.peers_tried, peer) == sent.peers_tried.end();
   };
-  const auto known = good_helper_.find(sent.request.address);
-  if (known != good_helper_.end() && untried(known->second) &&
-      std::ranges::find(helpers_, known->second) != helpers_.end()) {
+  const auto known = preferred_peer_.find(sent.request.address);
+  if (known != preferred_peer_.end() && untried(known->second) &&
+      std::ranges::find(forwarding_peers_, known->second) != forwarding_peers_.end()) {
     return known->second;
   }
-  for (std::size_t checked = 0; checked < helpers_.size(); ++checked) {
-    const auto& peer = helpers_[next_helper_++ % helpers_.size()];
+  for (std::size_t checked = 0; checked < forwarding_peers_.size(); ++checked) {
+    const auto& peer = forwarding_peers_[next_peer_++ % forwarding_peers_.size()];
     if (untried(peer)) {
       return peer;
     }
@@ -370,48 +375,49 @@
   return {};
 }
 
-void relayed_client::SendByPeer(const std::shared_ptr<exchange>& sent, const std::string& peer) {
+void relayed_client::TryPeer(const std::shared_ptr<exchange>& sent, const std::string& peer) {
   sent->peers_tried.push_back(peer);
   ++sent->in_flight;
   const auto sent_at = SteadyNow();
-  SendFrom(peer, sent->request, [this, sent, peer, sent_at](result<http_reply> answer) {
+  SendThroughPeer(peer, sent->request, [this, sent, peer, sent_at](result<http_reply> answer) {
     --sent->in_flight;
     const auto& address = sent->request.address;
-    const bool refused = sent->options.refusal_may_be_ours && IsRefusal(answer);
+    const bool refused = sent->options.retry_refusal_by_peer && IsRefusal(answer);
     if (answer.has_value() && !refused) {
-      good_helper_[address] = peer;
-      Learn(*sent, sent_at);
+      preferred_peer_[address] = peer;
+      RecordAnswerTime(*sent, sent_at);
       const bool direct_silent = sent->direct_tried && !sent->direct_answered;
       if (direct_silent && !sent->ended) {
         // The connections were lost without an error. If they were still tried first, they would
         // delay every batch of records.
-        broken_.try_emplace(address, SteadyNow() + kDirectRetryInterval);
+        direct_retry_at_.try_emplace(address, SteadyNow() + kDirectRetryInterval);
       }
       sent->Finish(std::move(answer));
       return;
     }
-    const auto known = good_helper_.find(address);
-    if (known != good_helper_.end() && known->second == peer) {
-      good_helper_.erase(known);
+    const auto known = preferred_peer_.find(address);
+    if (known != preferred_peer_.end() && known->second == peer) {
+      preferred_peer_.erase(known);
     }
     OnFailure(sent, std::move(answer));
   });
 }
 
-void relayed_client::SendFrom(const std::string& peer, const http_request& request,
-                              http_callback done) {
+void relayed_client::SendThroughPeer(const std::string& peer, const http_request& request,
+                                     http_callback done) {
   ++relayed_;
-  peers_.Ask(peer, ToWire(request), request.answer_by + kPeerForwardingMargin,
-             [done = std::move(done)](const wire::peer_frame* frame) {
-               if (frame == nullptr) {
-                 done(error{error_kind::kTimeout, "peer did not answer a forwarded request"});
-                 return;
-               }
-               done(FromWire(frame->relayed()));
-             });
+  peers_.SendRequest(
+      peer, ToWire(request), request.answer_by + kPeerForwardingMargin,
+      [done = std::move(done)](const wire::peer_frame* frame) {
+        if (frame == nullptr) {
+          done(error{error_kind::kTimeout, "peer did not answer a forwarded request"});
+          return;
+        }
+        done(FromWire(frame->relayed()));
+      });
 }
 
-void relayed_client::Serve(const wire::peer_frame& relay_request) {
+void relayed_client::ServeRelayCall(const wire::peer_frame& relay_request) {
   const auto& call = relay_request.relay();
   http_request request;
   request.address = call.address();
--- a/src/rosearch/cell/relayed_client.h
+++ b/src/rosearch/cell/relayed_client.h
@@ -19,26 +19,26 @@
 namespace rosearch::cell {
 
 /// The routes that one exchange may take to its target.
-struct reach {
+struct route_options {
   /// Whether a peer may make the exchange if this process can't. Only for idempotent requests, or
-  /// with a `patience` of zero.
-  bool by_peer{true};
+  /// with a `answer_timeout` of zero.
+  bool allow_peer{true};
   /// Whether an answer of 429 or 503 may concern this process alone, so that a peer tries as well.
-  bool refusal_may_be_ours{false};
+  bool retry_refusal_by_peer{false};
   /// Time without an answer, beyond `wait`, after which the request is also sent by the next route
   /// (a hedged request). Zero: the next route is tried only if the request was certainly not sent
   /// by the routes before. Needed for orders whose refusal must mean that no copy is in flight.
-  duration patience{std::chrono::milliseconds{700}};
+  duration answer_timeout{std::chrono::milliseconds{700}};
   /// How long the target itself may delay its answer (long polling).
   duration wait{};
-  /// Whether `patience` is only an upper bound and adapts to a multiple of the usual answer time of
-  /// the target. A silent connection to a target that answers in 5 ms is then detected within 0.06
-  /// s, and a target that answers in 0.5 s does not receive each request twice.
-  bool learns{false};
+  /// Whether `answer_timeout` is only an upper bound and adapts to a multiple of the usual answer
+  /// time of the target. A silent connection to a target that answers in 5 ms is then detected
+  /// within 0.06 s, and a target that answers in 0.5 s does not receive each request twice.
+  bool adaptive_timeout{false};
   /// Whether a relay makes the exchange if relays are set.
-  bool by_relay{false};
+  bool allow_relay{false};
 
-  friend bool operator==(const reach&, const reach&) = default;
+  friend bool operator==(const route_options&, const route_options&) = default;
 };
 
 /// Sends HTTP requests directly or through a peer if the direct route fails. Without this, a leader
@@ -52,7 +52,7 @@
       : io_{io}, direct_{direct}, peers_{peers}, log_{log} {}
 
   /// Sets the peers that may forward requests.
-  void SetPeers(std::vector<std::string> peers) { helpers_ = std::move(peers); }
+  void SetPeers(std::vector<std::string> peers) { forwarding_peers_ = std::move(peers); }
 
   /// Sets the relays: peers that make all exchanges that allow a relay; empty: none. In a large
   /// cell the exchanges with workers use most of the leader's processor time, while its peers are
@@ -63,36 +63,37 @@
 
   /// Sends a request. The callback runs once, on the thread of the io_context. An answer that came
   /// through a peer has no headers.
-  void Send(http_request request, const reach& options, http_callback done);
+  void Send(http_request request, const route_options& options, http_callback done);
 
   /// Sends a request through the given peer.
-  void SendFrom(const std::string& peer, const http_request& request, http_callback done);
+  void SendThroughPeer(const std::string& peer, const http_request& request, http_callback done);
 
   /// Makes the exchange that a peer requested and sends it the answer.
-  void Serve(const wire::peer_frame& relay_request);
+  void ServeRelayCall(const wire::peer_frame& relay_request);
 
   /// @return the number of exchanges sent through peers since the start.
-  [[nodiscard]] std::uint64_t Relayed() const { return relayed_; }
+  [[nodiscard]] std::uint64_t CountRelayedExchanges() const { return relayed_; }
 
  private:
-  enum class way : std::uint8_t { kRelay, kDirect, kPeer };
+  enum class route : std::uint8_t { kRelay, kDirect, kPeer };
   struct exchange;
 
-  [[nodiscard]] std::deque<way> WaysTo(const std::string& address, const reach& options);
+  [[nodiscard]] std::deque<route> SelectRoutes(const std::string& address,
+                                               const route_options& options);
   void TryNext(const std::shared_ptr<exchange>& sent);
-  void TryNextAfter(const std::shared_ptr<exchange>& sent, duration patience);
+  void TryNextAfter(const std::shared_ptr<exchange>& sent, duration answer_timeout);
   void TryNextUnlessSlow(const std::shared_ptr<exchange>& sent);
-  void SendDirect(const std::shared_ptr<exchange>& sent);
-  void SendByPeer(const std::shared_ptr<exchange>& sent, const std::string& peer);
-  void SendByRelay(const std::shared_ptr<exchange>& sent, const std::string& relay);
+  void TryDirect(const std::shared_ptr<exchange>& sent);
+  void TryPeer(const std::shared_ptr<exchange>& sent, const std::string& peer);
+  void TryRelay(const std::shared_ptr<exchange>& sent, const std::string& relay);
   /// @return the relay for exchanges with an address, stable while the set of relays is; empty if
   ///         none is available.
-  [[nodiscard]] std::string RelayOf(const std::string& address) const;
+  [[nodiscard]] std::string SelectRelay(const std::string& address) const;
   /// Temporarily excludes a relay that did not answer, and ends all requests pending there.
-  void RestRelay(const std::string& relay);
+  void ExcludeRelay(const std::string& relay);
   void OnFailure(const std::shared_ptr<exchange>& sent, result<http_reply> answer);
-  [[nodiscard]] duration Patience(const exchange& sent) const;
-  void Learn(const exchange& sent, time_point sent_at);
+  [[nodiscard]] duration AnswerTimeout(const exchange& sent) const;
+  void RecordAnswerTime(const exchange& sent, time_point sent_at);
   /// @return a peer that was not tried yet; empty if there is none.
   [[nodiscard]] std::string ChoosePeer(const exchange& sent);
 
@@ -100,25 +101,25 @@
   http_client& direct_;
   peer_link& peers_;
   event_sink* log_;
-  std::vector<std::string> helpers_;
+  std::vector<std::string> forwarding_peers_;
   std::vector<std::string> relays_;
   /// By relay: excluded until.
-  std::unordered_map<std::string, time_point> resting_;
+  std::unordered_map<std::string, time_point> excluded_relays_;
   /// By relay: time of its last answer.
-  std::unordered_map<std::string, time_point> relay_heard_;
+  std::unordered_map<std::string, time_point> relay_answered_at_;
   /// By address that its relay could not reach: until when other routes are used.
-  std::unordered_map<std::string, time_point> unrelayed_;
+  std::unordered_map<std::string, time_point> relay_bypassed_until_;
   /// By address: the peer that reached it last. Using the same peer again keeps requests in order.
-  std::unordered_map<std::string, std::string> good_helper_;
-  std::size_t next_helper_{0};
+  std::unordered_map<std::string, std::string> preferred_peer_;
+  std::size_t next_peer_{0};
   std::uint64_t relayed_{0};
   /// By address whose direct route failed: when the direct route is tried again, together with a
   /// peer, so that no caller waits for it.
-  std::unordered_map<std::string, time_point> broken_;
+  std::unordered_map<std::string, time_point> direct_retry_at_;
   /// By address: the one exchange that tries another route while the others wait for its result.
-  std::unordered_map<std::string, std::weak_ptr<exchange>> scouts_;
+  std::unordered_map<std::string, std::weak_ptr<exchange>> probes_;
   /// By address: smoothed answer time.
-  std::unordered_map<std::string, duration> usual_;
+  std::unordered_map<std::string, duration> smoothed_answer_times_;
 };
 
 }  // namespace rosearch::cell
--- a/test/rosearch/cell/advice_desk_test.cc
+++ b/test/rosearch/cell/advice_dispatcher_test.cc
@@ -1,4 +1,4 @@
-#include "rosearch/cell/advice_desk.h"
+#include "rosearch/cell/advice_dispatcher.h"
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -30,8 +30,8 @@
 /// Simulates 30 s of advice queries on seven processes, two of them for cheap queries only.
 /// @return the longest time that a query of the lowest priority waited for a process.
 duration LongestWait(const std::vector<query_load>& loads) {
-  advice_desk desk;
-  desk.SetHelpers({"", "1", "2", "3", "4", "5", "6"});
+  advice_dispatcher dispatcher;
+  dispatcher.SetHelpers({"", "1", "2", "3", "4", "5", "6"});
   const auto lowest_priority = std::ranges::max(loads, {}, &query_load::priority).priority;
   std::map<std::string, time_point> busy_until;
   std::map<std::string, time_point> pending_since;
@@ -54,7 +54,7 @@
   for (auto now = kStart; now < end; now += milliseconds{10}) {
     std::erase_if(busy_until, [&](const auto& each) {
       if (each.second <= now) {
-        desk.Done(each.first);
+        dispatcher.ReleaseHelper(each.first);
       }
       return each.second <= now;
     });
@@ -62,11 +62,11 @@
       if (at <= now && !pending_since.contains(step)) {
         auto query = Query(step, false);
         query.priority = priority[step];
-        desk.Add(std::move(query), now);
+        dispatcher.Add(std::move(query), now);
         pending_since[step] = now;
       }
     }
-    while (const auto next = desk.Next(now)) {
+    while (const auto next = dispatcher.TakeNext(now)) {
       busy_until[next->helper] = now + QueryCost(next->query);
       record_wait(next->query.step, now);
       pending_since.erase(next->query.step);
@@ -82,52 +82,52 @@
 }  // namespace
 
 TEST_CASE("each process sends one advice query at a time") {
-  advice_desk desk;
-  desk.SetHelpers({"", "b"});
-  desk.Add(Query("1", true), kStart);
-  desk.Add(Query("2", true), kStart);
-  desk.Add(Query("3", true), kStart);
-  CHECK(desk.Next(kStart)->helper.empty());
-  CHECK(desk.Next(kStart)->helper == "b");
-  CHECK_FALSE(desk.Next(kStart));
-  desk.Done("b");
-  CHECK(desk.Next(kStart)->query.step == "3");
+  advice_dispatcher dispatcher;
+  dispatcher.SetHelpers({"", "b"});
+  dispatcher.Add(Query("1", true), kStart);
+  dispatcher.Add(Query("2", true), kStart);
+  dispatcher.Add(Query("3", true), kStart);
+  CHECK(dispatcher.TakeNext(kStart)->helper.empty());
+  CHECK(dispatcher.TakeNext(kStart)->helper == "b");
+  CHECK_FALSE(dispatcher.TakeNext(kStart));
+  dispatcher.ReleaseHelper("b");
+  CHECK(dispatcher.TakeNext(kStart)->query.step == "3");
 }
 
 // The queries of a burst of long jobs take half a second each. An urgent step whose query waits
 // behind one would miss its target before it starts.
 TEST_CASE("expensive queries never occupy the last processes") {
-  advice_desk desk;
-  desk.SetHelpers({"", "b", "c"});
+  advice_dispatcher dispatcher;
+  dispatcher.SetHelpers({"", "b", "c"});
   for (int at = 0; at < 5; ++at) {
-    desk.Add(Query("long" + std::to_string(at), false), kStart);
+    dispatcher.Add(Query("long" + std::to_string(at), false), kStart);
   }
-  CHECK(desk.Next(kStart));
-  CHECK(desk.Next(kStart));
-  CHECK_FALSE(desk.Next(kStart));
-  desk.Add(Query("urgent", true), kStart);
-  CHECK(desk.Next(kStart)->query.step == "urgent");
+  CHECK(dispatcher.TakeNext(kStart));
+  CHECK(dispatcher.TakeNext(kStart));
+  CHECK_FALSE(dispatcher.TakeNext(kStart));
+  dispatcher.Add(Query("urgent", true), kStart);
+  CHECK(dispatcher.TakeNext(kStart)->query.step == "urgent");
 }
 
 TEST_CASE("a single process sends all queries, urgent ones first") {
-  advice_desk desk;
-  desk.SetHelpers({""});
-  desk.Add(Query("long", false), kStart);
-  desk.Add(Query("urgent", true), kStart);
-  CHECK(desk.Next(kStart)->query.step == "urgent");
-  desk.Done("");
-  CHECK(desk.Next(kStart)->query.step == "long");
+  advice_dispatcher dispatcher;
+  dispatcher.SetHelpers({""});
+  dispatcher.Add(Query("long", false), kStart);
+  dispatcher.Add(Query("urgent", true), kStart);
+  CHECK(dispatcher.TakeNext(kStart)->query.step == "urgent");
+  dispatcher.ReleaseHelper("");
+  CHECK(dispatcher.TakeNext(kStart)->query.step == "long");
 }
 
 // A mixed burst of 27 cheap and 3 expensive queries per second on seven processes. A single process
 // that sends them in order of arrival makes a cheap query wait for 1.4 s on average.
 TEST_CASE("under a burst urgent queries wait less than their own cost") {
-  advice_desk desk;
+  advice_dispatcher dispatcher;
   std::vector<std::string> helpers{""};
   for (int at = 1; at < 7; ++at) {
     helpers.push_back(std::to_string(at));
   }
-  desk.SetHelpers(helpers);
+  dispatcher.SetHelpers(helpers);
   std::map<std::string, duration> busy_until;
   std::map<std::string, duration> added;
   duration waited{};
@@ -135,7 +135,7 @@
   for (duration now{}; now < std::chrono::seconds{20}; now += milliseconds{1}) {
     for (auto& [helper, until] : busy_until) {
       if (until != duration{} && until <= now) {
-        desk.Done(helper);
+        dispatcher.ReleaseHelper(helper);
         until = duration{};
       }
     }
@@ -144,10 +144,10 @@
       if (ms % interval_ms == 0) {
         const auto step = std::to_string(ms) + (is_urgent ? "u" : "l");
         added[step] = now;
-        desk.Add(Query(step, is_urgent), kStart + now);
+        dispatcher.Add(Query(step, is_urgent), kStart + now);
       }
     }
-    while (const auto next = desk.Next(kStart + now)) {
+    while (const auto next = dispatcher.TakeNext(kStart + now)) {
       busy_until[next->helper] = now + QueryCost(next->query);
       if (next->query.priority == 0) {
         waited += now - added[next->query.step];
@@ -167,40 +167,41 @@
 }
 
 TEST_CASE("a more urgent query goes first among those that arrive together") {
-  advice_desk desk;
-  desk.SetHelpers({""});
+  advice_dispatcher dispatcher;
+  dispatcher.SetHelpers({""});
   auto late = Query("late", false);
   auto soon = Query("soon", false);
   soon.priority = 1;
-  desk.Add(late, kStart);
-  desk.Add(soon, kStart + advice_desk::kPutOff / 2);
-  CHECK(desk.Next(kStart + advice_desk::kPutOff)->query.step == "soon");
+  dispatcher.Add(late, kStart);
+  dispatcher.Add(soon, kStart + advice_dispatcher::kDelayPerPriorityLevel / 2);
+  CHECK(dispatcher.TakeNext(kStart + advice_dispatcher::kDelayPerPriorityLevel)->query.step ==
+        "soon");
 }
 
 // The scheduler times out and repeats a query that still waits for a process. Sending both copies
 // would delay the queries of other steps.
 TEST_CASE("a repeated query replaces the one that waits") {
-  advice_desk desk;
-  desk.SetHelpers({""});
-  desk.Add(Query("first", false), kStart);
-  desk.Add(Query("second", false), kStart + milliseconds{1});
-  desk.Add(Query("first", false), kStart + milliseconds{2});
-  CHECK(desk.Waiting() == 2);
-  CHECK(desk.Next(kStart)->query.step == "first");
+  advice_dispatcher dispatcher;
+  dispatcher.SetHelpers({""});
+  dispatcher.Add(Query("first", false), kStart);
+  dispatcher.Add(Query("second", false), kStart + milliseconds{1});
+  dispatcher.Add(Query("first", false), kStart + milliseconds{2});
+  CHECK(dispatcher.CountQueued() == 2);
+  CHECK(dispatcher.TakeNext(kStart)->query.step == "first");
 }
 
 // The answer of a process is lost. If the process stayed marked as busy, it would send no further
 // query, and once this had happened to all processes no long job would start.
 TEST_CASE("a process whose answer is lost is used again after a grace period") {
-  advice_desk desk;
-  desk.SetHelpers({""});
-  desk.Add(Query("lost", false), kStart);
-  const auto lost = desk.Next(kStart);
+  advice_dispatcher dispatcher;
+  dispatcher.SetHelpers({""});
+  dispatcher.Add(Query("lost", false), kStart);
+  const auto lost = dispatcher.TakeNext(kStart);
   REQUIRE(lost);
-  desk.Add(Query("next", false), kStart);
-  const auto back_at = kStart + QueryCost(lost->query) + advice_desk::kAnswerGrace;
-  CHECK_FALSE(desk.Next(back_at - milliseconds{1}));
-  CHECK(desk.Next(back_at)->query.step == "next");
+  dispatcher.Add(Query("next", false), kStart);
+  const auto back_at = kStart + QueryCost(lost->query) + advice_dispatcher::kAnswerGracePeriod;
+  CHECK_FALSE(dispatcher.TakeNext(back_at - milliseconds{1}));
+  CHECK(dispatcher.TakeNext(back_at)->query.step == "next");
 }
 
 }  // namespace rosearch::cell
--- a/test/rosearch/cell/peer_link_test.cc
+++ b/test/rosearch/cell/peer_link_test.cc
@@ -23,10 +23,10 @@
     ended += answer == nullptr ? 1 : 0;
   };
   const auto far_deadline = SteadyNow() + std::chrono::seconds{60};
-  link.Ask("127.0.0.1:9", {}, far_deadline, count);
-  link.Ask("127.0.0.1:9", {}, far_deadline, count);
-  link.Ask("127.0.0.1:10", {}, far_deadline, count);
-  link.Abandon("127.0.0.1:9");
+  link.SendRequest("127.0.0.1:9", {}, far_deadline, count);
+  link.SendRequest("127.0.0.1:9", {}, far_deadline, count);
+  link.SendRequest("127.0.0.1:10", {}, far_deadline, count);
+  link.EndRequests("127.0.0.1:9");
   CHECK(ended == 2);
 }
 
@@ -43,13 +43,13 @@
   query.mutable_query();
   wire::peer_frame call;
   call.mutable_call();
-  link.Ask(link.address(), ping, deadline, [](const wire::peer_frame*) {});
-  link.Ask(link.address(), query, deadline, [](const wire::peer_frame*) {});
-  link.Ask(link.address(), call, deadline, [](const wire::peer_frame*) {});
+  link.SendRequest(link.address(), ping, deadline, [](const wire::peer_frame*) {});
+  link.SendRequest(link.address(), query, deadline, [](const wire::peer_frame*) {});
+  link.SendRequest(link.address(), call, deadline, [](const wire::peer_frame*) {});
   while (received < 3 && SteadyNow() < deadline) {
     io.run_one_for(std::chrono::milliseconds{20});
   }
-  CHECK(link.Remembered() == 1);
+  CHECK(link.CountStoredRequests() == 1);
 }
 
 // The peers of a busy new leader hold the former leader's member list. Their pings must still be
@@ -70,12 +70,12 @@
   wire::peer_frame ping;
   ping.mutable_ping()->set_members_version(6);
   wire::peer_frame answered_frame;
-  follower.Ask(leader.address(), ping, SteadyNow() + std::chrono::seconds{2},
-               [&answered_frame](const wire::peer_frame* answer) {
-                 if (answer != nullptr) {
-                   answered_frame = *answer;
-                 }
-               });
+  follower.SendRequest(leader.address(), ping, SteadyNow() + std::chrono::seconds{2},
+                       [&answered_frame](const wire::peer_frame* answer) {
+                         if (answer != nullptr) {
+                           answered_frame = *answer;
+                         }
+                       });
   const auto until = SteadyNow() + std::chrono::seconds{2};
   while (!answered_frame.has_pong() && SteadyNow() < until) {
     io.run_one_for(std::chrono::milliseconds{20});
@@ -108,13 +108,13 @@
   REQUIRE(setrlimit(RLIMIT_NOFILE, &limited) == 0);
   constexpr int kPeers = 20;
   for (int at = 1; at <= kPeers; ++at) {
-    link.Tell("127.0.0.1:" + std::to_string(at), {});
+    link.SendMessage("127.0.0.1:" + std::to_string(at), {});
   }
   std::this_thread::sleep_for(std::chrono::milliseconds{200});
   REQUIRE(setrlimit(RLIMIT_NOFILE, &before) == 0);
   bool answered = false;
-  link.Ask(link.address(), {}, SteadyNow() + std::chrono::seconds{3},
-           [&answered](const wire::peer_frame* answer) { answered = answer != nullptr; });
+  link.SendRequest(link.address(), {}, SteadyNow() + std::chrono::seconds{3},
+                   [&answered](const wire::peer_frame* answer) { answered = answer != nullptr; });
   io.restart();
   const auto until = SteadyNow() + std::chrono::seconds{3};
   while (!answered && SteadyNow() < until) {
--- a/test/rosearch/cell/relayed_client_test.cc
+++ b/test/rosearch/cell/relayed_client_test.cc
@@ -33,7 +33,7 @@
                  }
                }} {}
 
-  std::optional<result<http_reply>> Send(const reach& how, duration max_wait) {
+  std::optional<result<http_reply>> Send(const route_options& how, duration max_wait) {
     http_request request;
     request.address = "127.0.0.1:" + std::to_string(server.port());
     request.answer_by = SteadyNow() + milliseconds{300};
@@ -57,8 +57,8 @@
     http_request nowhere;
     nowhere.answer_by = SteadyNow() + seconds{2};
     bool connected = false;
-    client.SendFrom(peers.address(), nowhere,
-                    [&connected](const result<http_reply>&) { connected = true; });
+    client.SendThroughPeer(peers.address(), nowhere,
+                           [&connected](const result<http_reply>&) { connected = true; });
     while (!connected) {
       io.run_one();
     }
@@ -76,7 +76,7 @@
   http_client direct{io};
   peer_link peers{io, "127.0.0.1:0", 7, [this](const wire::peer_frame& frame) {
                     if (!drop_relayed) {
-                      client.Serve(frame);
+                      client.ServeRelayCall(frame);
                     }
                   }};
   relayed_client client{io, direct, peers};
@@ -89,7 +89,7 @@
   const auto got = fixture.Send({}, milliseconds{200});
   REQUIRE(got);
   CHECK(got->value().body == "here");
-  CHECK(fixture.client.Relayed() == 0);
+  CHECK(fixture.client.CountRelayedExchanges() == 0);
 }
 
 // The last peer is lost while a request waits for the target's answer. The process divided by the
@@ -106,15 +106,15 @@
 TEST_CASE("a request that may be relayed goes through a relay") {
   client_fixture fixture{200};
   fixture.Connect();
-  const auto before = fixture.client.Relayed();
-  const auto got = fixture.Send({.patience = {}, .by_relay = true}, milliseconds{600});
+  const auto before = fixture.client.CountRelayedExchanges();
+  const auto got = fixture.Send({.answer_timeout = {}, .allow_relay = true}, milliseconds{600});
   REQUIRE(got);
   CHECK(got->value().body == "here");
-  CHECK(fixture.client.Relayed() == before + 1);
+  CHECK(fixture.client.CountRelayedExchanges() == before + 1);
   CHECK(fixture.calls == 1);
   const auto direct = fixture.Send({}, milliseconds{200});
   REQUIRE(direct);
-  CHECK(fixture.client.Relayed() == before + 1);
+  CHECK(fixture.client.CountRelayedExchanges() == before + 1);
 }
 
 // The relay between a leader and its workers loses power. If the leader kept using it, one order
@@ -122,7 +122,7 @@
 TEST_CASE("an unreachable relay is not used again") {
   client_fixture fixture{200};
   fixture.client.SetRelays({"127.0.0.1:9"});
-  const reach order{.patience = {}, .by_relay = true};
+  const route_options order{.answer_timeout = {}, .allow_relay = true};
   const auto lost = fixture.Send(order, seconds{2});
   REQUIRE(lost);
   CHECK(lost->error().kind == error_kind::kTimeout);
@@ -137,7 +137,7 @@
 TEST_CASE("a relay that lost one answer is still used") {
   client_fixture fixture{200};
   fixture.Connect();
-  const reach order{.patience = {}, .by_relay = true};
+  const route_options order{.answer_timeout = {}, .allow_relay = true};
   fixture.drop_relayed = true;
   http_request lost;
   lost.address = "127.0.0.1:" + std::to_string(fixture.server.port());
@@ -149,9 +149,9 @@
   REQUIRE(fixture.Send(order, milliseconds{200}));
   fixture.io.restart();
   fixture.io.run_for(milliseconds{250});
-  const auto before = fixture.client.Relayed();
+  const auto before = fixture.client.CountRelayedExchanges();
   REQUIRE(fixture.Send(order, milliseconds{200}));
-  CHECK(fixture.client.Relayed() == before + 1);
+  CHECK(fixture.client.CountRelayedExchanges() == before + 1);
 }
 
 // A relay is lost while a long poll through it is in flight. If the poll waited for its own
@@ -163,9 +163,9 @@
   watch.address = "127.0.0.1:" + std::to_string(fixture.server.port());
   watch.answer_by = SteadyNow() + seconds{20};
   std::optional<result<http_reply>> watched;
-  fixture.client.Send(watch, {.wait = seconds{19}, .by_relay = true},
+  fixture.client.Send(watch, {.wait = seconds{19}, .allow_relay = true},
                       [&watched](result<http_reply> answer) { watched = std::move(answer); });
-  (void)fixture.Send({.patience = {}, .by_relay = true}, seconds{2});
+  (void)fixture.Send({.answer_timeout = {}, .allow_relay = true}, seconds{2});
   fixture.io.run_for(milliseconds{100});
   REQUIRE(watched);
   CHECK(watched->value().body == "here");
@@ -175,14 +175,14 @@
 TEST_CASE("a target that its relay can't reach is reached directly") {
   client_fixture fixture{0};
   fixture.Connect();
-  const auto before = fixture.client.Relayed();
-  const reach order{.patience = {}, .by_relay = true};
+  const auto before = fixture.client.CountRelayedExchanges();
+  const route_options order{.answer_timeout = {}, .allow_relay = true};
   const auto lost = fixture.Send(order, seconds{2});
   REQUIRE(lost);
   CHECK(lost->has_error());
-  CHECK(fixture.client.Relayed() == before + 1);
+  CHECK(fixture.client.CountRelayedExchanges() == before + 1);
   (void)fixture.Send(order, seconds{2});
-  CHECK(fixture.client.Relayed() == before + 1);
+  CHECK(fixture.client.CountRelayedExchanges() == before + 1);
 }
 
 // The target may refuse only this process, so the request is also sent through a peer.
@@ -192,7 +192,7 @@
   const auto got = fixture.Send({true, true, milliseconds{100}}, milliseconds{600});
   REQUIRE(got);
   CHECK(got->value().status == 503);
-  CHECK(fixture.client.Relayed() > 0);
+  CHECK(fixture.client.CountRelayedExchanges() > 0);
   CHECK(fixture.calls > 1);
 }
 
@@ -203,7 +203,7 @@
   client_fixture fixture{200};
   fixture.unanswered_call = 1;
   fixture.client.SetPeers({fixture.peers.address()});
-  const reach how{true, true, milliseconds{100}};
+  const route_options how{true, true, milliseconds{100}};
   const auto first = fixture.Send(how, milliseconds{600});
   REQUIRE(first);
   CHECK(first->value().body == "here");
@@ -212,7 +212,7 @@
   REQUIRE(second);
   CHECK(second->value().body == "here");
   CHECK(fixture.elapsed < milliseconds{90});
-  CHECK(fixture.client.Relayed() == 2);
+  CHECK(fixture.client.CountRelayedExchanges() == 2);
 }
 
 // A store that has always answered within milliseconds loses one answer. The wait before the second
@@ -220,7 +220,7 @@
 TEST_CASE("the timeout follows the target's usual response time") {
   client_fixture fixture{200};
   fixture.client.SetPeers({fixture.peers.address()});
-  const reach how{true, true, milliseconds{900}, {}, true};
+  const route_options how{true, true, milliseconds{900}, {}, true};
   constexpr int kQuickAnswers = 20;
   for (int at = 0; at < kQuickAnswers; ++at) {
     REQUIRE(fixture.Send(how, milliseconds{600}));
@@ -239,7 +239,7 @@
 TEST_CASE("not every request to a target that became slow is sent twice") {
   client_fixture fixture{200};
   fixture.client.SetPeers({fixture.peers.address()});
-  const reach how{true, true, milliseconds{2'000}, {}, true};
+  const route_options how{true, true, milliseconds{2'000}, {}, true};
   constexpr int kQuickAnswers = 20;
   for (int at = 0; at < kQuickAnswers; ++at) {
     REQUIRE(fixture.Send(how, milliseconds{600}));
@@ -258,7 +258,7 @@
   fixture.io.restart();
   fixture.io.run_for(milliseconds{900});
   CHECK(answered == kConcurrentAppends);
-  CHECK(fixture.client.Relayed() <= 2);
+  CHECK(fixture.client.CountRelayedExchanges() <= 2);
 }
 
 // An order to a worker must have only one copy in flight: a sender that is told that the order was
