--- a/test/rosearch/cell/fake_ports.h
+++ b/test/rosearch/cell/fake_ports.h
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 
 /// Collects log lines for tests that check them.
-class kept_lines final : public event_sink {
+class log_recorder final : public event_sink {
  public:
   void Write(const event_line& line) override { lines.push_back(line.text()); }
   std::vector<std::string> lines;
@@ -34,33 +34,35 @@
   void Append(stream, const std::vector<std::string>& records,
               const std::optional<writer_proof>& proof, const std::optional<std::uint64_t>&,
               const append_callback& done) {
-    ++appends;
-    if (silent) {
+    ++append_count;
+    if (drop_appends) {
       return;
     }
-    if (!records.empty() && first_takes > duration{}) {
-      Later(std::exchange(first_takes, {}),
-            [this, records, sequence = proof->sequence, done] { done(Store(records, sequence)); });
+    if (!records.empty() && first_append_delay > duration{}) {
+      RunAfter(std::exchange(first_append_delay, {}),
+               [this, records, sequence = proof->sequence, done] {
+                 done(StoreRecords(records, sequence));
+               });
       return;
     }
     append_answer answer;
     answer.outcome = append_outcome::kStored;
-    if (refuse || (!records.empty() && lose > 0)) {
-      answer.outcome = refuse ? append_outcome::kNotStored : append_outcome::kUnknown;
-      lose -= refuse ? 0 : 1;
-    } else if (fenced) {
+    if (refuse_appends || (!records.empty() && appends_to_lose > 0)) {
+      answer.outcome = refuse_appends ? append_outcome::kNotStored : append_outcome::kUnknown;
+      appends_to_lose -= refuse_appends ? 0 : 1;
+    } else if (fence_appends) {
       answer.outcome = append_outcome::kFenced;
     } else if (!records.empty()) {
-      answer = Store(records, proof->sequence);
+      answer = StoreRecords(records, proof->sequence);
     }
     // Delays every second append with records, as if it had taken a slower route.
-    const bool slow = !records.empty() && reorder && ++carried % 2 == 1;
-    Later(slow ? milliseconds{25} : milliseconds{1}, [done, answer] { done(answer); });
+    const bool slow = !records.empty() && reorder_appends && ++record_appends % 2 == 1;
+    RunAfter(slow ? milliseconds{25} : milliseconds{1}, [done, answer] { done(answer); });
   }
   void Read(stream, std::uint64_t from, duration wait, const log_callback& done) {
     log_page page;
     page.next = from;
-    Later(std::max<duration>(wait, milliseconds{5}), [done, page] { done(page); });
+    RunAfter(std::max<duration>(wait, milliseconds{5}), [done, page] { done(page); });
   }
   void ReadNewest(stream which, const std::string&, const newest_callback& done) {
     newest_page page;
@@ -71,29 +73,29 @@
         page.records.push_back({"w" + std::to_string(at), "here"});
       }
     } else if (which == stream::kState) {
-      for (const auto& [key, value] : kept) {
+      for (const auto& [key, value] : stored) {
         page.records.push_back({key, value});
       }
     }
-    Later(milliseconds{1}, [done, page] { done(page); });
+    RunAfter(milliseconds{1}, [done, page] { done(page); });
   }
   void Start(const sched::start_order& order, std::uint64_t, const start_callback& done) {
     starts.push_back(order);
-    ended.push_back({++ends, order.task, order.run, sched::end_kind::kDone, ""});
-    Later(milliseconds{1}, [done] { done(sched::start_outcome::kStarted); });
+    ended.push_back({++last_end, order.task, order.run, sched::end_kind::kDone, ""});
+    RunAfter(milliseconds{1}, [done] { done(sched::start_outcome::kStarted); });
   }
   void Stop(const sched::stop_order&, std::uint64_t, const stop_callback& done) {
-    Later(milliseconds{1}, [done] { done(true, false); });
+    RunAfter(milliseconds{1}, [done] { done(true, false); });
   }
   void Pace(const sched::pace_order&, std::uint64_t) {}
   void Watch(const sched::watch_request& watch, std::uint64_t, const watch_callback& done) {
-    ++watches;
-    const bool first = watched.insert(watch.worker).second;
+    ++watch_count;
+    const bool first = watched_workers.insert(watch.worker).second;
     std::erase_if(ended, [&](const auto& row) { return row.number <= watch.acked_end; });
     // A worker with nothing to report delays its answer (long poll).
     const bool delays_answer = ended.empty() && watch.wait > duration{};
-    Later(milliseconds{delays_answer ? 50 : 5}, [this, first, done] {
-      std::this_thread::sleep_for(first ? watch_costs : duration{});
+    RunAfter(milliseconds{delays_answer ? 50 : 5}, [this, first, done] {
+      std::this_thread::sleep_for(first ? watch_cost : duration{});
       watch_answer answer;
       answer.report = sched::worker_report{{}, ended};
       done(answer);
@@ -133,27 +135,27 @@
     return std::nullopt;
   }
 
-  std::map<std::string, std::string> kept;
-  std::set<std::string> watched;
+  std::map<std::string, std::string> stored;
+  std::set<std::string> watched_workers;
   std::vector<sched::start_order> starts;
   std::vector<sched::ended_row> ended;
-  std::uint64_t ends{0};
+  std::uint64_t last_end{0};
   std::optional<std::uint64_t> next_sequence;  ///< unset: any first number is accepted
-  duration first_takes{};                      ///< of the first append; 0: as the others
-  duration watch_costs{};  ///< time for which a worker's first answer blocks the leader
-  int appends{0};
-  int carried{0};
+  duration first_append_delay{};               ///< of the first append; 0: as the others
+  duration watch_cost{};  ///< time for which a worker's first answer blocks the leader
+  int append_count{0};
+  int record_appends{0};
   int workers{1};
-  int watches{0};
-  int lose{0};
-  bool refuse{false};
-  bool silent{false};
-  bool fenced{false};
-  bool reorder{false};
+  int watch_count{0};
+  int appends_to_lose{0};
+  bool refuse_appends{false};
+  bool drop_appends{false};
+  bool fence_appends{false};
+  bool reorder_appends{false};
 
  private:
   /// Stores records with the expected sequence number, ignores a repeat and refuses any other.
-  append_answer Store(const std::vector<std::string>& records, std::uint64_t sequence) {
+  append_answer StoreRecords(const std::vector<std::string>& records, std::uint64_t sequence) {
     append_answer answer;
     answer.outcome = append_outcome::kStored;
     if (next_sequence && sequence != *next_sequence) {
@@ -165,11 +167,11 @@
     next_sequence = sequence + 1;
     for (const auto& bytes : records) {
       const auto record = SplitKeyed(bytes);
-      kept[record->key] = record->value;
+      stored[record->key] = record->value;
     }
     return answer;
   }
-  void Later(duration delay, std::function<void()> action) {
+  void RunAfter(duration delay, std::function<void()> action) {
     auto timer = std::make_shared<boost::asio::steady_timer>(io_, delay);
     timer->async_wait(
         [timer, action = std::move(action)](const boost::system::error_code&) { action(); });
@@ -180,54 +182,54 @@
 static_assert(cell_ports<fake_ports>);
 
 /// A leader on fake ports that runs in real time, for short periods.
-class leading {
+class leader_fixture {
  public:
-  explicit leading(int workers = 1, duration interval = {}, duration first_append = {},
-                   duration watch_costs = {})
-      : pause{interval} {
+  explicit leader_fixture(int workers = 1, duration interval = {}, duration first_append = {},
+                          duration watch_cost = {})
+      : watch_interval{interval} {
     ports.workers = workers;
-    ports.watch_costs = watch_costs;
-    ports.first_takes = first_append;
+    ports.watch_cost = watch_cost;
+    ports.first_append_delay = first_append;
     leader_hooks hooks;
     hooks.watch_pause = [this] {
-      known_when_asked.push_back(made->Workers());
-      return pause;
+      known_workers_at_watch.push_back(instance->Workers());
+      return watch_interval;
     };
     hooks.on_end = [this] { ended = true; };
-    made = std::make_shared<leader<fake_ports>>(io, ports, leader_settings{}, 1, log, metrics,
-                                                std::move(hooks));
-    made->Begin();
+    instance = std::make_shared<leader<fake_ports>>(io, ports, leader_settings{}, 1, log, metrics,
+                                                    std::move(hooks));
+    instance->Begin();
     Run(milliseconds{60});
   }
-  ~leading() {
-    made->End("test over");
+  ~leader_fixture() {
+    instance->End("test over");
     io.restart();
     io.run_for(milliseconds{10});
   }
-  leading(const leading&) = delete;
-  leading& operator=(const leading&) = delete;
+  leader_fixture(const leader_fixture&) = delete;
+  leader_fixture& operator=(const leader_fixture&) = delete;
 
   void Run(duration span) {
     io.restart();
     io.run_for(span);
   }
-  std::shared_ptr<caller_answer> Ask(const std::string& method, const std::string& id,
-                                     const std::string& body = {},
-                                     duration timeout = milliseconds{2'000}) {
+  std::shared_ptr<caller_answer> SendCall(const std::string& method, const std::string& id,
+                                          const std::string& body = {},
+                                          duration timeout = milliseconds{2'000}) {
     auto got = std::make_shared<caller_answer>();
     got->status = 0;
-    made->Handle({method, "host", "/jobs/" + id, body}, timeout,
-                 [got](const caller_answer& answer) { *got = answer; });
+    instance->Handle({method, "host", "/jobs/" + id, body}, timeout,
+                     [got](const caller_answer& answer) { *got = answer; });
     return got;
   }
 
   boost::asio::io_context io;
   fake_ports ports{io};
-  kept_lines log;
+  log_recorder log;
   metric_set metrics;
-  std::shared_ptr<leader<fake_ports>> made;
-  std::vector<std::size_t> known_when_asked;  ///< workers known at each call of the hook
-  duration pause{};                           ///< between two slices of workers to watch
+  std::shared_ptr<leader<fake_ports>> instance;
+  std::vector<std::size_t> known_workers_at_watch;  ///< workers known at each call of the hook
+  duration watch_interval{};                        ///< between two slices of workers to watch
   bool ended{false};
 };
 
--- a/test/rosearch/cell/leader_test.cc
+++ b/test/rosearch/cell/leader_test.cc
@@ -7,61 +7,61 @@
 namespace rosearch::cell {
 
 TEST_CASE("a job is accepted, run and shown as completed") {
-  leading cell;
-  REQUIRE(cell.made->Serving());
-  const auto accepted = cell.Ask("POST", "a", "job");
+  leader_fixture cell;
+  REQUIRE(cell.instance->Serving());
+  const auto accepted = cell.SendCall("POST", "a", "job");
   cell.Run(milliseconds{30});
   CHECK(accepted->status == 200);
   cell.Run(milliseconds{700});
   CHECK(cell.ports.starts.size() == 1);
-  const auto state = cell.Ask("GET", "a");
+  const auto state = cell.SendCall("GET", "a");
   CHECK(state->body == "2");
-  CHECK(cell.Ask("GET", "b")->status == 410);
-  CHECK(cell.Ask("POST", "c", "")->status == 400);
+  CHECK(cell.SendCall("GET", "b")->status == 410);
+  CHECK(cell.SendCall("POST", "c", "")->status == 400);
 }
 
 // A new leader of thousands of workers connected to each of them directly before it knew its
 // relays, and ran out of file descriptors.
 TEST_CASE("workers are counted before the first of them is asked") {
-  const leading cell;
-  REQUIRE_FALSE(cell.known_when_asked.empty());
-  CHECK(cell.known_when_asked.front() == 1);
-  CHECK(cell.ports.watches > 0);
+  const leader_fixture cell;
+  REQUIRE_FALSE(cell.known_workers_at_watch.empty());
+  CHECK(cell.known_workers_at_watch.front() == 1);
+  CHECK(cell.ports.watch_count > 0);
 }
 
 // A new leader that watched thousands of workers at once answered no caller or peer meanwhile, and
 // was replaced.
 TEST_CASE("many workers are read some at a time") {
   constexpr int kWorkers = 200;
-  leading cell{kWorkers, milliseconds{100}};
-  REQUIRE(cell.made->Serving());
-  CHECK(cell.ports.watched.size() < kWorkers / 2);
+  leader_fixture cell{kWorkers, milliseconds{100}};
+  REQUIRE(cell.instance->Serving());
+  CHECK(cell.ports.watched_workers.size() < kWorkers / 2);
   cell.Run(milliseconds{600});
-  CHECK(cell.ports.watched.size() == kWorkers);
+  CHECK(cell.ports.watched_workers.size() == kWorkers);
 }
 
 // A new leader with a small share of a processor handled the workers' reports without a break.
 // Callers and peers waited until all were read, and the peers chose another leader.
 TEST_CASE("reading workers leaves an overloaded leader half of its time") {
   constexpr int kWorkers = 600;
-  leading cell{kWorkers, milliseconds{1}, {}, milliseconds{1}};
-  REQUIRE(cell.made->Serving());
+  leader_fixture cell{kWorkers, milliseconds{1}, {}, milliseconds{1}};
+  REQUIRE(cell.instance->Serving());
   // The first slice is already sent. Later slices may take half of the time, at 1 ms per worker.
   constexpr int kSlice = 50;
   cell.Run(milliseconds{300});
-  CHECK(cell.ports.watched.size() <= 360 / 2 + 2 * kSlice);
+  CHECK(cell.ports.watched_workers.size() <= 360 / 2 + 2 * kSlice);
   cell.Run(milliseconds{2'000});
-  CHECK(cell.ports.watched.size() == kWorkers);
+  CHECK(cell.ports.watched_workers.size() == kWorkers);
 }
 
 TEST_CASE("a store that refuses an append refuses the job at once, and it never runs") {
-  leading cell;
-  cell.ports.refuse = true;
-  const auto refused = cell.Ask("POST", "a", "job");
+  leader_fixture cell;
+  cell.ports.refuse_appends = true;
+  const auto refused = cell.SendCall("POST", "a", "job");
   cell.Run(milliseconds{50});
   CHECK(refused->status == 503);
   CHECK(refused->retry_after_s > 0);
-  cell.ports.refuse = false;
+  cell.ports.refuse_appends = false;
   cell.Run(milliseconds{400});
   CHECK(cell.ports.starts.empty());
 }
@@ -69,9 +69,9 @@
 // The answer to an append is lost. The caller must not be told that its job was refused, since the
 // job may be stored.
 TEST_CASE("an append without an answer is sent again until its job is accepted") {
-  leading cell;
-  cell.ports.lose = 2;
-  const auto accepted = cell.Ask("POST", "a", "job");
+  leader_fixture cell;
+  cell.ports.appends_to_lose = 2;
+  const auto accepted = cell.SendCall("POST", "a", "job");
   cell.Run(milliseconds{50});
   CHECK(accepted->status == 0);
   cell.Run(milliseconds{500});
@@ -81,12 +81,12 @@
 // The store stops answering. The job whose append is in flight stays open until its caller times
 // out; later jobs are refused at once.
 TEST_CASE("while the store is silent new jobs are refused at once") {
-  leading cell;
-  cell.ports.silent = true;
-  const auto first = cell.Ask("POST", "a", "job", milliseconds{1'000});
+  leader_fixture cell;
+  cell.ports.drop_appends = true;
+  const auto first = cell.SendCall("POST", "a", "job", milliseconds{1'000});
   cell.Run(milliseconds{700});
-  CHECK(cell.Ask("POST", "b", "job")->status == 503);
-  CHECK(cell.Ask("POST", "a", "job", milliseconds{100})->status == 0);
+  CHECK(cell.SendCall("POST", "b", "job")->status == 503);
+  CHECK(cell.SendCall("POST", "a", "job", milliseconds{100})->status == 0);
   cell.Run(milliseconds{400});
   CHECK(first->status == 504);
 }
@@ -94,15 +94,15 @@
 // The store answers again after an outage, while calls made during the outage still hang. The cell
 // refused jobs until the last of those calls had timed out.
 TEST_CASE("a store that is back is noticed though earlier calls still hang") {
-  leading cell;
-  cell.ports.silent = true;
-  const auto first = cell.Ask("POST", "a", "job");
+  leader_fixture cell;
+  cell.ports.drop_appends = true;
+  const auto first = cell.SendCall("POST", "a", "job");
   cell.Run(milliseconds{700});
-  CHECK(cell.Ask("POST", "b", "job")->status == 503);
-  cell.ports.silent = false;
+  CHECK(cell.SendCall("POST", "b", "job")->status == 503);
+  cell.ports.drop_appends = false;
   cell.Run(milliseconds{300});
   CHECK(first->status == 200);
-  const auto second = cell.Ask("POST", "c", "job");
+  const auto second = cell.SendCall("POST", "c", "job");
   cell.Run(milliseconds{50});
   CHECK(second->status == 200);
 }
@@ -110,11 +110,11 @@
 // Batches on different routes overtake one another, and the store refuses the one that arrives out
 // of order. If that counted as a store failure, the cell would refuse jobs.
 TEST_CASE("a batch that arrives before its predecessor is not a store failure") {
-  leading cell;
-  cell.ports.reorder = true;
+  leader_fixture cell;
+  cell.ports.reorder_appends = true;
   std::vector<std::shared_ptr<caller_answer>> answers;
   for (int at = 0; at < 12; ++at) {
-    answers.push_back(cell.Ask("POST", "job" + std::to_string(at), "job"));
+    answers.push_back(cell.SendCall("POST", "job" + std::to_string(at), "job"));
     cell.Run(milliseconds{14});
   }
   cell.Run(milliseconds{300});
@@ -127,20 +127,20 @@
 // epoch and then refuses the first batch as a repeat, which the leader recorded as stored: accepted
 // jobs and the workers to wait for were lost at the next leader change.
 TEST_CASE("a leader's first batch is not overtaken") {
-  leading cell{1, {}, milliseconds{200}};
-  const auto accepted = cell.Ask("POST", "a", "job");
+  leader_fixture cell{1, {}, milliseconds{200}};
+  const auto accepted = cell.SendCall("POST", "a", "job");
   cell.Run(milliseconds{500});
   CHECK(accepted->status == 200);
-  CHECK(cell.ports.kept.contains("ja"));
-  CHECK(cell.ports.kept.contains("w"));
+  CHECK(cell.ports.stored.contains("ja"));
+  CHECK(cell.ports.stored.contains("w"));
 }
 
 // Another process has taken over. Decisions of the former leader must have no effect, and its
 // callers must look for the new leader.
 TEST_CASE("a fenced leader ends and sends its callers on") {
-  leading cell;
-  cell.ports.fenced = true;
-  const auto answer = cell.Ask("POST", "a", "job");
+  leader_fixture cell;
+  cell.ports.fence_appends = true;
+  const auto answer = cell.SendCall("POST", "a", "job");
   cell.Run(milliseconds{50});
   CHECK(cell.ended);
   CHECK(answer->not_leading);
@@ -151,24 +151,24 @@
 // it. A caller that asks for a job that the new leader accepted must not be told that the job is
 // unknown.
 TEST_CASE("a leader that hasn't read the claims lately calls no job unknown") {
-  leading cell;
-  CHECK(cell.Ask("GET", "b")->status == 410);
+  leader_fixture cell;
+  CHECK(cell.SendCall("GET", "b")->status == 410);
   for (int at = 0; at < 27; ++at) {
-    cell.made->OnPeerHeartbeat();
+    cell.instance->OnPeerHeartbeat();
     cell.Run(milliseconds{100});
   }
-  CHECK(cell.Ask("GET", "b")->status == 503);
-  cell.made->OnNoNewerClaim(SteadyNow());
-  CHECK(cell.Ask("GET", "b")->status == 410);
+  CHECK(cell.SendCall("GET", "b")->status == 503);
+  cell.instance->OnNoNewerClaim(SteadyNow());
+  CHECK(cell.SendCall("GET", "b")->status == 410);
 }
 
 TEST_CASE("a leader that resigns stores first, then ends") {
-  leading cell;
-  (void)cell.Ask("POST", "a", "job");
-  cell.made->Resign();
+  leader_fixture cell;
+  (void)cell.SendCall("POST", "a", "job");
+  cell.instance->Resign();
   cell.Run(milliseconds{60});
   CHECK(cell.ended);
-  CHECK(cell.ports.kept.contains("ja"));
+  CHECK(cell.ports.stored.contains("ja"));
 }
 
 }  // namespace rosearch::cell
--- a/test/rosearch/cell/node_test.cc
+++ b/test/rosearch/cell/node_test.cc
@@ -199,7 +199,7 @@
   boost::asio::io_context io_;
   claiming_ports ports_;
   http_client http_{io_};
-  kept_lines log_;
+  log_recorder log_;
   metric_set metrics_;
   std::unique_ptr<node<claiming_ports>> node_;
   peer_link peers_;
--- a/test/rosearch/cell/walks_test.cc
+++ b/test/rosearch/cell/walks_test.cc
@@ -58,11 +58,11 @@
 
 // The store is unavailable while a caller submits a job; the caller gets 503.
 TEST_CASE("from a refused job's id to the unavailable store") {
-  leading cell;
-  cell.ports.silent = true;
-  (void)cell.Ask("POST", "first", "job", milliseconds{2'000});
+  leader_fixture cell;
+  cell.ports.drop_appends = true;
+  (void)cell.SendCall("POST", "first", "job", milliseconds{2'000});
   cell.Run(milliseconds{700});
-  CHECK(cell.Ask("POST", "5c0e7a21d94b36f8", "job")->status == 503);
+  CHECK(cell.SendCall("POST", "5c0e7a21d94b36f8", "job")->status == 503);
   const auto output = RunWalk("walk-refused", cell.log.lines, "5c0e7a21d94b36f8");
   CHECK(output.find("reason=store_away") != std::string::npos);
 }
@@ -87,9 +87,9 @@
 
 // The append of a job is never answered; the caller times out with 504.
 TEST_CASE("from an unanswered job's id to the append without an answer") {
-  leading cell;
-  cell.ports.silent = true;
-  const auto answer = cell.Ask("POST", "5c0e7a21d94b36f8", "job", milliseconds{300});
+  leader_fixture cell;
+  cell.ports.drop_appends = true;
+  const auto answer = cell.SendCall("POST", "5c0e7a21d94b36f8", "job", milliseconds{300});
   cell.Run(milliseconds{500});
   CHECK(answer->status == 504);
   const auto output = RunWalk("walk-unknown", cell.log.lines, "5c0e7a21d94b36f8");
