--- a/src/rosearch/cell/relayed_client.cc
+++ b/src/rosearch/cell/relayed_client.cc
@@ -15,12 +15,12 @@
 
 /// A route without an answer after this multiple of the usual answer time has probably failed. With
 /// 4, one request in a hundred to a healthy store was sent twice.
-constexpr int kHedgeDelayFactor = 6;
+constexpr int kAnswerTimeoutFactor = 6;
 
-/// Lower bound of the adaptive delay: below it, load on this process is the likelier cause.
-constexpr duration kMinHedgeDelay = std::chrono::milliseconds{60};
+/// Lower bound of the adaptive timeout: below it, load on this process is the likelier cause.
+constexpr duration kMinAnswerTimeout = std::chrono::milliseconds{60};
 
-/// Assumed answer time of a target without measurements. Limits the delay after a lost first answer
+/// Assumed answer time of a target without measurements. Limits the timeout of a lost first answer
 /// to 0.24 s.
 constexpr duration kInitialAnswerTime = std::chrono::milliseconds{40};
 
@@ -174,8 +174,8 @@
     const auto known = smoothed_answer_times_.find(sent.request.address);
     const auto answer_time =
         known == smoothed_answer_times_.end() ? kInitialAnswerTime : known->second;
-    answer_timeout = std::clamp(answer_time * kHedgeDelayFactor,
-                                std::min(kMinHedgeDelay, answer_timeout), answer_timeout);
+    answer_timeout = std::clamp(answer_time * kAnswerTimeoutFactor,
+                                std::min(kMinAnswerTimeout, answer_timeout), answer_timeout);
   }
   return sent.options.wait + answer_timeout;
 }
@@ -251,7 +251,7 @@
   auto& probe = probes_[address];
   const auto other = probe.lock();
   if (waited < answer_timeout) {
-    TryNextAfter(sent, answer_timeout - waited);  // the delay for this target grew meanwhile
+    TryNextAfter(sent, answer_timeout - waited);  // the timeout for this target grew meanwhile
   } else if (other && other != sent && !other->ended) {
     TryNextAfter(sent, kProbeCheckInterval);
   } else {
