--- a/src/rosearch/sched/advice_book.h
+++ b/src/rosearch/sched/advice_book.h
@@ -14,7 +14,7 @@
 struct worker_state;
 
 /// The advice received for one step: which workers may run it, which must not, and the state of the
-/// query under way. Whether a worker may run the step doesn't change during the step's lifetime;
+/// query in flight. Whether a worker may run the step doesn't change during the step's lifetime;
 /// only the tickets that prove it expire.
 class advice_book {
  public:
@@ -62,7 +62,7 @@
   }
   /// Records that the query was answered or has been given up.
   void EndQuery() { answer_deadline_ = time_point{}; }
-  /// @return whether a query is under way and its deadline has not passed.
+  /// @return whether a query is in flight and its deadline has not passed.
   [[nodiscard]] bool HasPendingQuery(time_point now) const { return now < answer_deadline_; }
   /// @return whether the deadline of an unanswered query has passed.
   [[nodiscard]] bool IsQueryOverdue(time_point now) const {
--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -22,8 +22,8 @@
 constexpr duration kBusyWatchTimeout = std::chrono::milliseconds{600};
 constexpr duration kIdleWatchTimeout = std::chrono::milliseconds{2'000};
 
-/// Maximum extra delays of a watch and of a scheduling pass while the leader is late, so that it
-/// handles more ends and inputs at a time. A late leader also gives workers with runs the idle
+/// Maximum extra delays of a watch and of a scheduling pass while the leader is overloaded, so
+/// that it handles more ends and inputs at a time. It then also gives workers with runs the idle
 /// timeout, which delays only answers that report no end.
 constexpr duration kMaxCollectDelay = std::chrono::milliseconds{500};
 constexpr duration kMaxPassDelay = std::chrono::milliseconds{100};
@@ -163,7 +163,8 @@
   }
   RefreshStepLists();
   for (auto* const step : open_steps_) {
-    // A gang can't work if only some of its members were found after a leader change.
+    // A gang can't make progress if only some of its members are still running after a leader
+    // change.
     if (step->spec->gang && !step->runs.empty() && OldRunsSettled() &&
         step->runs.size() < step->tasks.size()) {
       StopGang(*step, now);
--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -115,7 +115,7 @@
 struct wait_view {
   std::string_view what{};
   std::size_t unsettled{0};    ///< see `scheduler::OldRunsSettled`: workers without an answer yet
-  std::size_t out_of_use{0};   ///< silent, leaving, gone or not yet recorded
+  std::size_t out_of_use{0};   ///< silent, draining, unlisted or not yet recorded
   std::size_t left_alone{0};   ///< quarantined after failures
   std::size_t unfit{0};        ///< excluded by label, pool or per-worker limit
   std::size_t not_allowed{0};  ///< excluded by advice
@@ -164,8 +164,8 @@
 [[nodiscard]] std::int64_t RequiredProcessorsMilli(const step_state& step);
 
 /// Schedules all tasks of the cell: receives events from callers, workers, the advice service and
-/// the store, and produces orders and records. It reads no clock and does no I/O, so that a load
-/// with its faults can be replayed deterministically.
+/// the store, and produces orders and records. It reads no clock and does no I/O, so that tests
+/// can run a load with its faults deterministically.
 ///
 /// Guarantees, even if messages are lost, delayed or duplicated: no worker is charged beyond its
 /// capacity; no task runs twice at a time; no step starts before the steps that it depends on; a
@@ -226,13 +226,13 @@
                 const instant& now);
   void OnWatchFailed(const std::string& worker, watch_failure failure, const instant& now);
   void OnStartAnswer(const start_order& sent, start_outcome outcome, const instant& now);
-  /// @param heard  whether the worker acknowledged the order.
-  void OnStopAnswer(const stop_order& sent, bool heard, const instant& now);
+  /// @param acknowledged  whether the worker acknowledged the order.
+  void OnStopAnswer(const stop_order& sent, bool acknowledged, const instant& now);
 
   // Advice.
 
   /// @param allowed  null if the query was not answered.
-  void OnAdvice(const advice_query& asked, const std::vector<advised_worker>* allowed,
+  void OnAdvice(const advice_query& query, const std::vector<advised_worker>* allowed,
                 const instant& now);
 
   // Store.
@@ -255,8 +255,8 @@
   [[nodiscard]] bool IsPending(std::string_view id) const;
   /// @return results for callers that became available since the last call.
   [[nodiscard]] std::vector<settled_job> TakeSettled() { return std::exchange(settled_, {}); }
-  /// @return workers whose ends were stored since the last call; their next watch acknowledges
-  ///         them.
+  /// @return workers whose ended runs were stored since the last call. Their next watch
+  ///         acknowledges these ends.
   [[nodiscard]] std::vector<std::string> TakeAcked() { return std::exchange(acked_, {}); }
 
   // Time.
@@ -375,8 +375,7 @@
 
   // scheduler_progress.cc
   /// @return the typical run time of a step's tasks, from ended runs and from active runs on
-  /// workers
-  ///         other than `excluded_worker`; nothing if there are too few samples.
+  ///         workers other than `excluded_worker`; nothing if there are too few samples.
   [[nodiscard]] std::optional<duration> TypicalRunTime(const step_state& step,
                                                        const worker_state& excluded_worker) const;
   /// @return the remaining time of a run at its current speed, and its slowdown.
@@ -484,14 +483,15 @@
   void LogWaitingStep(step_state& step, const instant& now);
 
   /// A leader whose event loop is delayed by more than this sheds load: it watches workers less
-  /// often, handles more inputs per pass, doesn't judge workers by times that include its own
-  /// delay, and admits fewer jobs.
+  /// often, handles more inputs per pass, doesn't detect slow runs, since measured times include
+  /// its own delay, and admits fewer jobs.
   static constexpr duration kOverloadDelay = std::chrono::milliseconds{50};
   static constexpr std::uint32_t kNoAdmissionLimit = 1U << 20U;
-  /// Max workers with room considered in a large pool; considering more gives no better placement.
+  /// Max workers with room that are compared for a step in a large pool; comparing more gives no
+  /// better placement.
   static constexpr std::size_t kMaxConsideredWorkers = 120;
-  /// Max unreachable workers after a leader change for which advice is requested. If there are
-  /// more, most are about to answer.
+  /// Max unsettled workers after a leader change for which advice is requested. If there are more,
+  /// most are about to answer.
   static constexpr std::size_t kMaxUnreachableWorkers = 8;
 
   scheduler_settings settings_;
--- a/src/rosearch/sched/scheduler_advice.cc
+++ b/src/rosearch/sched/scheduler_advice.cc
@@ -30,7 +30,7 @@
   if (!step.job->restored || unsettled_.size() > kMaxUnreachableWorkers) {
     return unsettled;
   }
-  for (const auto& [id, lapses_at] : unsettled_) {
+  for (const auto& [id, expires_at] : unsettled_) {
     const auto* const worker = workers_.at(id).get();
     const bool allowed = std::ranges::any_of(
         step.advice.Allowed(), [&](const auto& each) { return each.worker == worker; });
@@ -42,9 +42,9 @@
 }
 
 // Handles a worker that fails together with the leader. The new leader doesn't know which tasks the
-// worker was told to run, so every restored task would wait 8 s until the worker's lease has
-// lapsed. Since advice refuses a given step on two workers in three, a query often shows that the
-// step doesn't have to wait for this one.
+// worker was ordered to run, so every restored task would wait 8 s until the worker's lease has
+// expired. Since advice refuses a given step on two workers in three, a query often shows that the
+// step doesn't have to wait for that worker.
 void scheduler::QueryUnsettledWorkers(step_state& step, const instant& now) {
   if (step.job->accepted && step.job->advice && !UnsettledWorkersToQuery(step).empty()) {
     RequestAdvice(step, step.CountIdleTasks(), now);
@@ -175,8 +175,8 @@
   orders_.emplace_back(std::move(query));
 }
 
-// The answer to a query can be lost on its way, or with the process that sent the query. Without
-// giving up an overdue query, its step would wait for advice forever even with room for all its
+// The answer to a query can be lost on its way, or with the process that sent the query. If an
+// overdue query weren't given up, its step would wait for advice forever even with room for all its
 // tasks.
 bool scheduler::MayRequestAdvice(step_state& step, const instant& now) {
   if (step.advice.HasPendingQuery(now.steady) || now.steady < step.advice.next_query_at) {
@@ -193,9 +193,9 @@
   return true;
 }
 
-void scheduler::OnAdvice(const advice_query& asked, const std::vector<advised_worker>* allowed,
+void scheduler::OnAdvice(const advice_query& query, const std::vector<advised_worker>* allowed,
                          const instant& now) {
-  const auto name = task_name::Parse(asked.step + ".0");
+  const auto name = task_name::Parse(query.step + ".0");
   auto* const job = name ? FindJob(name->job) : nullptr;
   auto* const step = job == nullptr ? nullptr : job->Step(name->occurrence, name->step);
   if (step == nullptr) {
@@ -207,25 +207,25 @@
     step->advice.next_query_at = now.steady + settings_.advice_retry_interval;
     log_.Write(event_line{"advice_missing", event_weight::kFailure}
                    .Add("job", name->job)
-                   .Add("step", asked.step));
+                   .Add("step", query.step));
     return;
   }
   auto& share = advised_share_.try_emplace(job->spec->queue, kInitialAdvisedShare).first->second;
   const auto answered_share = static_cast<double>(allowed->size()) /
-                              static_cast<double>(std::max<std::size_t>(1, asked.workers.size()));
+                              static_cast<double>(std::max<std::size_t>(1, query.workers.size()));
   share += kAdvisedShareWeight * (answered_share - share);
-  for (const auto& worker : asked.workers) {
+  for (const auto& worker : query.workers) {
     const auto given = std::ranges::find(*allowed, worker, &advised_worker::worker);
     if (given == allowed->end()) {
       step->advice.Refuse(worker);
     } else if (const auto known = workers_.find(worker); known != workers_.end()) {
-      step->advice.Allow(known->second.get(), given->ticket, now.steady + asked.cost.ticket_life);
+      step->advice.Allow(known->second.get(), given->ticket, now.steady + query.cost.ticket_life);
     }
   }
   log_.Write(event_line{"advice_given", event_weight::kDetail}
                  .Add("job", name->job)
-                 .Add("step", asked.step)
-                 .Add("asked", asked.workers.size())
+                 .Add("step", query.step)
+                 .Add("asked", query.workers.size())
                  .Add("allowed", allowed->size())
                  .Add("took_ms", now.steady - step->advice.query_sent_at()));
 }
--- a/src/rosearch/sched/scheduler_gangs.cc
+++ b/src/rosearch/sched/scheduler_gangs.cc
@@ -122,7 +122,7 @@
   std::ranges::sort(named);
   named.erase(std::unique(named.begin(), named.end()), named.end());
   if (named.empty()) {
-    // Queries as many unknown workers as possible at once: which workers advice allows doesn't
+    // Names as many workers without advice as possible at once: which workers advice allows doesn't
     // change, and each further name adds only a seventieth of a query's cost. Workers with room for
     // a member come first.
     std::stable_partition(unknown.begin(), unknown.end(),
--- a/src/rosearch/sched/scheduler_progress.cc
+++ b/src/rosearch/sched/scheduler_progress.cc
@@ -3,8 +3,8 @@
 //
 // A worker that becomes slower by a factor of seven still looks lightly loaded, since it holds few
 // runs, each for a long time. Every step then places a task there, and one straggler delays its
-// whole job: in the first four seconds of a replayed day, seven jobs took more than three times as
-// long as their callers had been promised.
+// whole job: within four seconds, seven jobs took more than three times as long as their callers
+// had been promised.
 #include <algorithm>
 #include <chrono>
 
--- a/src/rosearch/sched/scheduler_reservations.cc
+++ b/src/rosearch/sched/scheduler_reservations.cc
@@ -1,10 +1,10 @@
 // Reservations: prevent starvation of steps that only a few workers may run.
 //
 // A job may be allowed on two workers of thirteen and need all accelerators of one. Without a
-// reservation, small tasks fill each gap there first, since they fit sooner. On each replayed day
-// four to seven such jobs waited for 20 s or more and took more than three times as long as their
-// callers had been promised. A reservation keeps the room that is freed on one worker for the step,
-// and preempts runs of lower priority that write checkpoints.
+// reservation, small tasks fill each gap there first, since they fit sooner. Four to seven such
+// jobs a day then wait for 20 s or more and take more than three times as long as their callers
+// were promised. A reservation keeps the room that is freed on one worker for the step, and
+// preempts runs of lower priority that write checkpoints.
 #include <algorithm>
 #include <chrono>
 
--- a/src/rosearch/sched/scheduler_runs.cc
+++ b/src/rosearch/sched/scheduler_runs.cc
@@ -1,4 +1,4 @@
-// Life cycle of the runs of `scheduler`, from the start order to the confirmed end.
+// Lifecycle of the runs of `scheduler`, from the start order to the confirmed end.
 #include <algorithm>
 #include <chrono>
 
@@ -327,12 +327,12 @@
   }
 }
 
-void scheduler::OnStopAnswer(const stop_order& sent, bool heard, const instant& now) {
+void scheduler::OnStopAnswer(const stop_order& sent, bool acknowledged, const instant& now) {
   auto* const run = FindRun(sent.worker, sent.task, sent.run);
   if (run == nullptr || run->phase != run_phase::kStopping) {
     return;
   }
-  if (heard) {
+  if (acknowledged) {
     run->stop_acknowledged = true;
     run->confirmed_at = now.steady;
     run->retry_at = kNever;
--- a/src/rosearch/sched/scheduler_settings.h
+++ b/src/rosearch/sched/scheduler_settings.h
@@ -26,7 +26,7 @@
   /// Max relative drift of a worker's clock: 2% by the platform's specification, plus a margin for
   /// rounding.
   double max_clock_drift{0.025};
-  /// Time that a message may take, beyond `max_clock_drift`, before it counts as too late.
+  /// Margin for message delivery that is added to a lease's duration, beyond `max_clock_drift`.
   duration lapse_margin{std::chrono::milliseconds{200}};
   /// After a leader change: how long the former leader may have continued to send before it noticed
   /// that it was partitioned.
@@ -85,7 +85,7 @@
   /// Max share of a pool's workers that is reserved at a time. Twice that brought no benefit.
   double max_reserved_share{0.34};
   /// Timeout of an advice query beyond its cost; after it the query counts as lost and is retried.
-  /// The slowest of 1,600 answers of a replayed day took 1.7 s; this is about twice that.
+  /// The slowest of 1,600 answers took 1.7 s; this is about twice that.
   duration advice_timeout{std::chrono::milliseconds{4'000}};
   /// Share of the slack in a job's objective that the expected waiting time may use; a job that
   /// would wait longer is refused.
--- a/test/rosearch/sched/load_test.cc
+++ b/test/rosearch/sched/load_test.cc
@@ -3,7 +3,7 @@
 
 #include "rosearch/sched/cell_world.h"
 
-// Replays adverse loads in virtual time, each with the scheduler's defaults and again with the
+// Runs adverse loads in virtual time, each with the scheduler's defaults and again with the
 // mechanism against that load switched off.
 
 namespace rosearch::sched {
@@ -277,7 +277,7 @@
 
 // With three times the quick work that the cell can run, hundreds of steps wait while runs end all
 // the time. A leader that tried to place every waiting step in every pass would spend all its time
-// on that and serve nobody.
+// on that and start no tasks in time.
 TEST_CASE("placement attempts grow with freed capacity, not with the backlog") {
   constexpr std::size_t kManyWorkers = 100;
   constexpr int kRounds = 250;
--- a/test/rosearch/sched/scheduler_test.cc
+++ b/test/rosearch/sched/scheduler_test.cc
@@ -182,7 +182,7 @@
 }
 
 // The append that carries a job was sent and not answered, so the job may be stored and run later.
-// A caller that asks again must not be told that it is refused.
+// A caller that submits it again must not get a refusal.
 TEST_CASE("a job whose append is in flight stays pending when the store is unreachable") {
   scheduler_fixture fixture;
   (void)fixture.Submit("a", 1);
@@ -203,7 +203,7 @@
 }
 
 // A start order was sent twice by different routes. The first copy was executed and its run ended
-// before the second arrived, which the worker refuses as stale. If the leader took that to mean
+// before the second arrived, which the worker refuses as stale. If the leader concluded
 // that the run never started, the task would run twice and a caller would pay twice.
 TEST_CASE("a start order refused as stale counts as executed") {
   scheduler_fixture fixture;
@@ -399,7 +399,7 @@
   CHECK(next.OldRunsSettled());
 }
 
-// A worker is lost for good, and the leader dies shortly afterwards. Only the tasks that ran at
+// A worker is lost permanently, and the leader dies shortly afterwards. Only the tasks that ran at
 // that worker have to wait for its lease. Unless the store tells which these are, all old work
 // would wait for 8 s.
 TEST_CASE("after a change of leader only the tasks of a silent worker wait for it") {
