--- a/src/rosearch/sched/job_state.h
+++ b/src/rosearch/sched/job_state.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "rosearch/core/time.h"
-#include "rosearch/sched/advice_book.h"
 #include "rosearch/sched/instant.h"
 #include "rosearch/sched/job_spec.h"
+#include "rosearch/sched/step_advice.h"
 
 namespace rosearch::sched {
 
--- a/src/rosearch/sched/advice_book.h
+++ b/src/rosearch/sched/step_advice.h
@@ -1,5 +1,5 @@
-#ifndef ROSEARCH_SCHED_ADVICE_BOOK_H_
-#define ROSEARCH_SCHED_ADVICE_BOOK_H_
+#ifndef ROSEARCH_SCHED_STEP_ADVICE_H_
+#define ROSEARCH_SCHED_STEP_ADVICE_H_
 
 #include <algorithm>
 #include <string>
@@ -84,4 +84,4 @@
 
 }  // namespace rosearch::sched
 
-#endif  // ROSEARCH_SCHED_ADVICE_BOOK_H_
+#endif  // ROSEARCH_SCHED_STEP_ADVICE_H_
