--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -116,7 +116,7 @@
   std::string_view what{};
   std::size_t unsettled{0};    ///< see `scheduler::OldRunsSettled`: workers without an answer yet
   std::size_t out_of_use{0};   ///< silent, draining, unlisted or not yet recorded
-  std::size_t left_alone{0};   ///< quarantined after failures
+  std::size_t left_alone{0};   ///< excluded after failures
   std::size_t unfit{0};        ///< excluded by label, pool or per-worker limit
   std::size_t not_allowed{0};  ///< excluded by advice
   std::size_t no_room{0};
--- a/src/rosearch/sched/scheduler_progress.cc
+++ b/src/rosearch/sched/scheduler_progress.cc
@@ -141,7 +141,7 @@
     return;
   }
   std::vector<std::pair<live_run*, run_outlook>> slow;
-  std::size_t judged = 0;
+  std::size_t compared = 0;
   double slowest = 0;
   for (const auto& [task, run] : worker.runs) {
     const bool comparable = run->step != nullptr && !run->step->spec->service &&
@@ -150,7 +150,7 @@
     if (!outlook) {
       continue;
     }
-    ++judged;
+    ++compared;
     slowest = std::max(slowest, outlook->slowdown);
     if (outlook->slowdown >= settings_.slow_factor) {
       slow.emplace_back(run.get(), *outlook);
@@ -159,18 +159,18 @@
   // A single slow run among normal ones is a task with more work, which would be as slow on another
   // worker.
   const bool conclusive = slow.size() > 1 || slowest >= kSingleRunSlowdown;
-  if (slow.empty() || slow.size() * 2 <= judged || !conclusive) {
+  if (slow.empty() || slow.size() * 2 <= compared || !conclusive) {
     return;
   }
   if (worker.health.IsUsable(now.steady)) {
-    const auto pause = worker.health.RecordSlowRun(settings_, now.steady);
+    const auto quarantine = worker.health.RecordSlowRun(settings_, now.steady);
     log_.Write(event_line{"worker_slow", event_weight::kBelief}
                    .Add("worker", worker.facts.id)
                    .Add("slow_runs", slow.size())
-                   .Add("judged", judged)
+                   .Add("judged", compared)
                    .Add("runs", worker.runs.size())
                    .Add("slowdown_percent", static_cast<int>(std::min(slowest, 99.0) * 100))
-                   .Add("left_alone_ms", pause));
+                   .Add("left_alone_ms", quarantine));
   }
   for (const auto& [run, outlook] : slow) {
     const bool worth_moving =
