--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -116,11 +116,11 @@
   std::string_view what{};
   std::size_t unsettled{0};    ///< see `scheduler::OldRunsSettled`: workers without an answer yet
   std::size_t out_of_use{0};   ///< silent, draining, unlisted or not yet recorded
-  std::size_t left_alone{0};   ///< excluded after failures
+  std::size_t left_alone{0};   ///< excluded for a time after failures, slow runs or refusals
   std::size_t unfit{0};        ///< excluded by label, pool or per-worker limit
   std::size_t not_allowed{0};  ///< excluded by advice
   std::size_t no_room{0};
-  std::size_t open{0};
+  std::size_t open{0};  ///< with room for a task of the step
 
   friend bool operator==(const wait_view&, const wait_view&) = default;
 };
@@ -483,8 +483,8 @@
   void LogWaitingStep(step_state& step, const instant& now);
 
   /// A leader whose event loop is delayed by more than this sheds load: it watches workers less
-  /// often, handles more inputs per pass, doesn't detect slow runs, since measured times include
-  /// its own delay, and admits fewer jobs.
+  /// often, handles more inputs per pass, ignores measured run times, since they include its own
+  /// delay, and admits fewer jobs.
   static constexpr duration kOverloadDelay = std::chrono::milliseconds{50};
   static constexpr std::uint32_t kNoAdmissionLimit = 1U << 20U;
   /// Max workers with room that are compared for a step in a large pool; comparing more gives no
@@ -513,7 +513,7 @@
   std::vector<settled_job> settled_;
   std::vector<job_timing> timings_;
   std::vector<std::string> acked_;
-  std::set<std::string> unacked_;       ///< workers with ends that aren't stored yet
+  std::set<std::string> unacked_;
   std::vector<std::string> dirty_;      ///< jobs with unstored changes
   std::vector<std::string> forgotten_;  ///< ended jobs whose records must be deleted
   std::vector<std::string> retiring_;   ///< jobs to check for retirement to `ended_`
@@ -527,7 +527,7 @@
   std::uint64_t placement_attempts_{0};
   std::uint64_t workers_considered_{0};
   duration newest_delay_{};  ///< last value passed to `NoteDelay`
-  duration loop_delay_{};  ///< smaller of the last two delays, so that one late tick has no effect
+  duration loop_delay_{};    ///< smaller of the last two delays: one delayed tick has no effect
   std::uint32_t admitted_since_tick_{0};              ///< jobs admitted since the last tick
   std::uint32_t admission_limit_{kNoAdmissionLimit};  ///< max jobs admitted until the next tick
   std::map<std::uint64_t, stored_effects> storing_;
--- a/src/rosearch/sched/scheduler_reports.cc
+++ b/src/rosearch/sched/scheduler_reports.cc
@@ -295,8 +295,8 @@
     const auto& spec = *run->step->spec;
     // A service gains nothing by staying, so it is stopped at once. A run with checkpoints is
     // stopped as late as possible, so that its newest checkpoint is kept.
-    const bool in_time = spec.service || (spec.checkpoints && now.steady >= stop_at);
-    if (!in_time) {
+    const bool must_stop = spec.service || (spec.checkpoints && now.steady >= stop_at);
+    if (!must_stop) {
       continue;
     }
     if (spec.gang) {
--- a/test/rosearch/sched/scheduler_test.cc
+++ b/test/rosearch/sched/scheduler_test.cc
@@ -203,8 +203,8 @@
 }
 
 // A start order was sent twice by different routes. The first copy was executed and its run ended
-// before the second arrived, which the worker refuses as stale. If the leader concluded
-// that the run never started, the task would run twice and a caller would pay twice.
+// before the second arrived, which the worker refuses as stale. If the leader concluded that
+// the run never started, the task would run twice and a caller would pay twice.
 TEST_CASE("a start order refused as stale counts as executed") {
   scheduler_fixture fixture;
   (void)fixture.Submit("a", 1);
