--- a/benchmark/leader_bench.cc
+++ b/benchmark/leader_bench.cc
@@ -163,7 +163,7 @@
     }
     Store();
     (void)leader_.TakeSettled();
-    (void)leader_.TakeAcked();
+    (void)leader_.TakeWorkersWithStoredEnds();
     (void)leader_.TakeTimings();
   }
   void Advise(const advice_query& query) {
--- a/src/rosearch/cell/cell_settings.cc
+++ b/src/rosearch/cell/cell_settings.cc
@@ -148,7 +148,7 @@
     }
     scheduler.off.Add(*which);
   }
-  if (!scheduler.Uses(sched::mechanism::kBatchesBeside)) {
+  if (!scheduler.Uses(sched::mechanism::kConcurrentBatches)) {
     settings.leading.max_batches_in_flight = 1;
   }
   if (!scheduler.Uses(sched::mechanism::kEarlyElection)) {
--- a/src/rosearch/cell/internal/leader_orders.h
+++ b/src/rosearch/cell/internal/leader_orders.h
@@ -8,8 +8,8 @@
 namespace rosearch::cell {
 
 template <typename Ports>
-void leader<Ports>::NoteDelay(duration delay) {
-  scheduler_.NoteDelay(delay);
+void leader<Ports>::RecordLoopDelay(duration delay) {
+  scheduler_.RecordLoopDelay(delay);
   metrics_.Observe("rosearch_loop_delay_seconds", delay);
   const bool late = delay > settings_.lateness_threshold;
   if (std::exchange(late_, late) != late) {
@@ -24,7 +24,7 @@
   After(tick_timer_, settings_.tick_interval,
         [due = SteadyNow() + settings_.tick_interval](leader& self) {
           self.DetectProcessPause();
-          self.NoteDelay(SteadyNow() - due);
+          self.RecordLoopDelay(SteadyNow() - due);
           const auto now = Now();
           self.scheduler_.Tick(now);
           self.RemoveOverdueWorkers();
@@ -64,7 +64,7 @@
   }
   AskForAdvice();
   AnswerSettledCallers();
-  for (const auto& worker : scheduler_.TakeAcked()) {
+  for (const auto& worker : scheduler_.TakeWorkersWithStoredEnds()) {
     const auto timer = watches_.find(worker);
     if (timer != watches_.end()) {
       timer->second->cancel();
--- a/src/rosearch/cell/internal/node_leadership.h
+++ b/src/rosearch/cell/internal/node_leadership.h
@@ -172,7 +172,7 @@
     }
   }
   const auto& scheduler = settings_.leading.scheduler;
-  if (!scheduler.Uses(sched::mechanism::kSecondWay)) {
+  if (!scheduler.Uses(sched::mechanism::kAlternateRoute)) {
     addresses.clear();
   }
   if (!scheduler.Uses(sched::mechanism::kAdviceByAll)) {
--- a/src/rosearch/cell/leader.h
+++ b/src/rosearch/cell/leader.h
@@ -259,7 +259,7 @@
 
   void ScheduleTick();
   /// Records how late a tick fired, which is how long any event waits in this process.
-  void NoteDelay(duration delay);
+  void RecordLoopDelay(duration delay);
   void PostPump();
   void Pump();
   void SchedulePass();
--- a/src/rosearch/sched/fill_index.cc
+++ b/src/rosearch/sched/fill_index.cc
@@ -23,8 +23,8 @@
 void fill_index::Reindex(worker_state& worker) {
   const auto& name = worker.facts.pool;
   const entry now{FillOf(worker), &worker};
-  const auto known = places_.find(&worker);
-  if (known != places_.end() && known->second.pool == name) {
+  const auto known = positions_.find(&worker);
+  if (known != positions_.end() && known->second.pool == name) {
     auto& [pool_name, at] = known->second;
     if (at->fill != now.fill) {
       auto& workers = pools_[name].workers;
@@ -32,10 +32,10 @@
       at = workers.insert(now).first;
     }
   } else {
-    if (known != places_.end()) {
+    if (known != positions_.end()) {
       pools_[known->second.pool].workers.erase(known->second.at);
     }
-    places_[&worker] = place{name, pools_[name].workers.insert(now).first};
+    positions_[&worker] = place{name, pools_[name].workers.insert(now).first};
   }
   auto& largest = pools_[name].largest_milli;
   largest = std::max(largest, worker.facts.capacity.processors_milli);
@@ -45,12 +45,12 @@
   if (std::exchange(worker.fill_changed, false)) {
     std::erase(changed_, &worker);
   }
-  const auto known = places_.find(&worker);
-  if (known == places_.end()) {
+  const auto known = positions_.find(&worker);
+  if (known == positions_.end()) {
     return;
   }
   pools_[known->second.pool].workers.erase(known->second.at);
-  places_.erase(known);
+  positions_.erase(known);
 }
 
 std::size_t fill_index::Size(const std::string& pool) {
--- a/src/rosearch/sched/fill_index.h
+++ b/src/rosearch/sched/fill_index.h
@@ -94,7 +94,7 @@
                                                                std::int64_t processors_milli);
 
   std::unordered_map<std::string, pool_workers> pools_;
-  std::unordered_map<const worker_state*, place> places_;
+  std::unordered_map<const worker_state*, place> positions_;
   std::vector<worker_state*> changed_;
 };
 
--- a/src/rosearch/sched/job_state.h
+++ b/src/rosearch/sched/job_state.h
@@ -64,7 +64,7 @@
   std::uint32_t index{0};
   std::vector<task_state> tasks;
   std::vector<live_run*> runs;  ///< active runs
-  advice_book advice;
+  step_advice advice;
   std::uint32_t done{0};
   bool open{false};                       ///< its dependencies are done: tasks may start
   bool listed{false};                     ///< in the list of steps that a scheduling pass considers
--- a/src/rosearch/sched/mechanism.h
+++ b/src/rosearch/sched/mechanism.h
@@ -11,21 +11,21 @@
 
 /// A mechanism that can be disabled to measure its effect.
 enum class mechanism : std::uint8_t {
-  kAdmission,      ///< refuses jobs that can't meet their objective
-  kReserve,        ///< reserves a share of each worker for urgent work
-  kPreemption,     ///< urgent work preempts runs that checkpoint
-  kPacking,        ///< packs long work tightly and spreads urgent work
-  kHealth,         ///< quarantines workers whose runs fail or hang
-  kAdviceAhead,    ///< requests advice about workers without room as well
-  kReservation,    ///< steps that wait long reserve workers
-  kRescue,         ///< moves runs that are far slower than their siblings
-  kSpeeds,         ///< places short work on fast workers, long work on the others
-  kHopelessLast,   ///< serves jobs that are far past their objective last
-  kAdviceByAll,    ///< all processes send advice queries, not only the leader
-  kBatchesBeside,  ///< writes batches to the store concurrently
-  kSecondWay,      ///< reaches unreachable destinations through a peer
-  kEarlyElection,  ///< suspects the leader as soon as its connection breaks
-  kRelays,         ///< peers handle the worker traffic of a large cell
+  kAdmission,          ///< refuses jobs that can't meet their objective
+  kReserve,            ///< reserves a share of each worker for urgent work
+  kPreemption,         ///< urgent work preempts runs that checkpoint
+  kPacking,            ///< packs long work tightly and spreads urgent work
+  kHealth,             ///< quarantines workers whose runs fail or hang
+  kAdviceAhead,        ///< requests advice about workers without room as well
+  kReservation,        ///< steps that wait long reserve workers
+  kRescue,             ///< moves runs that are far slower than their siblings
+  kSpeeds,             ///< places short work on fast workers, long work on the others
+  kHopelessLast,       ///< serves jobs that are far past their objective last
+  kAdviceByAll,        ///< all processes send advice queries, not only the leader
+  kConcurrentBatches,  ///< writes batches to the store concurrently
+  kAlternateRoute,     ///< reaches unreachable destinations through a peer
+  kEarlyElection,      ///< suspects the leader as soon as its connection breaks
+  kRelays,             ///< peers handle the worker traffic of a large cell
 };
 
 inline constexpr std::size_t kMechanismCount = 15;
--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -104,7 +104,7 @@
     watch.wait = worker.runs.empty() || IsOverloaded() ? kIdleWatchTimeout : kBusyWatchTimeout;
   }
   if (answers) {
-    worker.lease_until = std::max(worker.lease_until, now.steady + LongestLease());
+    worker.lease_until = std::max(worker.lease_until, now.steady + MaxLeaseDuration());
   }
   return watch;
 }
@@ -125,7 +125,7 @@
              : collect_delay;
 }
 
-void scheduler::NoteDelay(duration delay) {
+void scheduler::RecordLoopDelay(duration delay) {
   loop_delay_ = std::min(std::exchange(newest_delay_, delay), delay);
   // Admitted jobs delay the process only some time after their admission, so an overloaded process
   // halves the number of jobs that it admits per tick.
--- a/src/rosearch/sched/scheduler.h
+++ b/src/rosearch/sched/scheduler.h
@@ -116,7 +116,7 @@
   std::string_view what{};
   std::size_t unsettled{0};    ///< see `scheduler::OldRunsSettled`: workers without an answer yet
   std::size_t out_of_use{0};   ///< silent, draining, unlisted or not yet recorded
-  std::size_t left_alone{0};   ///< excluded for a time after failures, slow runs or refusals
+  std::size_t quarantined{0};  ///< excluded for a time after failures, slow runs or refusals
   std::size_t unfit{0};        ///< excluded by label, pool or per-worker limit
   std::size_t not_allowed{0};  ///< excluded by advice
   std::size_t no_room{0};
@@ -257,14 +257,16 @@
   [[nodiscard]] std::vector<settled_job> TakeSettled() { return std::exchange(settled_, {}); }
   /// @return workers whose ended runs were stored since the last call. Their next watch
   ///         acknowledges these ends.
-  [[nodiscard]] std::vector<std::string> TakeAcked() { return std::exchange(acked_, {}); }
+  [[nodiscard]] std::vector<std::string> TakeWorkersWithStoredEnds() {
+    return std::exchange(workers_with_stored_ends_, {});
+  }
 
   // Time.
 
   /// Handles timeouts and retries; call about every 50 ms.
   void Tick(const instant& now);
   /// Records the current delay of the event loop; call with each `Tick`.
-  void NoteDelay(duration delay);
+  void RecordLoopDelay(duration delay);
   /// @return extra time to collect inputs before a scheduling pass: an overloaded leader handles
   ///         more inputs per pass.
   [[nodiscard]] duration ExtraPassDelay() const;
@@ -369,7 +371,7 @@
   void ThrottleLeftoverRuns(worker_state& worker);
   void DropWorker(const std::string& id);
   void SettleWorker(const std::string& id, std::string_view how, const instant& now);
-  [[nodiscard]] duration LongestLease() const;
+  [[nodiscard]] duration MaxLeaseDuration() const;
   /// @return the run number for a task's `count`-th run under this leadership.
   [[nodiscard]] std::uint32_t RunNumber(std::uint32_t count) const;
 
@@ -489,10 +491,10 @@
   static constexpr std::uint32_t kNoAdmissionLimit = 1U << 20U;
   /// Max workers with room that are compared for a step in a large pool; comparing more gives no
   /// better placement.
-  static constexpr std::size_t kMaxConsideredWorkers = 120;
+  static constexpr std::size_t kMaxCandidateWorkers = 120;
   /// Max unsettled workers after a leader change for which advice is requested. If there are more,
   /// most are about to answer.
-  static constexpr std::size_t kMaxUnreachableWorkers = 8;
+  static constexpr std::size_t kMaxUnsettledWorkers = 8;
 
   scheduler_settings settings_;
   std::uint64_t epoch_;
@@ -512,8 +514,8 @@
   std::vector<order> orders_;
   std::vector<settled_job> settled_;
   std::vector<job_timing> timings_;
-  std::vector<std::string> acked_;
-  std::set<std::string> unacked_;
+  std::vector<std::string> workers_with_stored_ends_;
+  std::set<std::string> workers_with_unstored_ends_;
   std::vector<std::string> dirty_;      ///< jobs with unstored changes
   std::vector<std::string> forgotten_;  ///< ended jobs whose records must be deleted
   std::vector<std::string> retiring_;   ///< jobs to check for retirement to `ended_`
@@ -526,7 +528,7 @@
   std::uint64_t next_batch_{1};
   std::uint64_t placement_attempts_{0};
   std::uint64_t workers_considered_{0};
-  duration newest_delay_{};  ///< last value passed to `NoteDelay`
+  duration newest_delay_{};  ///< last value passed to `RecordLoopDelay`
   duration loop_delay_{};    ///< smaller of the last two delays: one delayed tick has no effect
   std::uint32_t admitted_since_tick_{0};              ///< jobs admitted since the last tick
   std::uint32_t admission_limit_{kNoAdmissionLimit};  ///< max jobs admitted until the next tick
--- a/src/rosearch/sched/scheduler_advice.cc
+++ b/src/rosearch/sched/scheduler_advice.cc
@@ -27,7 +27,7 @@
 
 std::vector<std::string> scheduler::UnsettledWorkersToQuery(const step_state& step) const {
   std::vector<std::string> unsettled;
-  if (!step.job->restored || unsettled_.size() > kMaxUnreachableWorkers) {
+  if (!step.job->restored || unsettled_.size() > kMaxUnsettledWorkers) {
     return unsettled;
   }
   for (const auto& [id, expires_at] : unsettled_) {
@@ -97,7 +97,7 @@
     const auto& pool = step.job->pool;
     const auto wanted = RequiredProcessorsMilli(step);
     const auto enough = [&] {
-      return found.allowed.size() + found.unknown.size() >= kMaxConsideredWorkers;
+      return found.allowed.size() + found.unknown.size() >= kMaxCandidateWorkers;
     };
     fill_.VisitOpen(pool, wanted, IsUrgent(step), [&](worker_state& worker) {
       consider(worker);
--- a/src/rosearch/sched/scheduler_placement.cc
+++ b/src/rosearch/sched/scheduler_placement.cc
@@ -15,9 +15,9 @@
 // Weights of `Score`, as fractions of a fully loaded worker.
 /// A run outside the rack of its data takes half as long again.
 constexpr double kOffDataRackPenalty = 0.6;
-constexpr double kSuspectPenalty = 0.5;         ///< the worker has failed recently
-constexpr double kBesideLeftoverPenalty = 2.0;  ///< runs on leftover processors slow down services
-constexpr double kSiblingPenalty = 0.3;         ///< tasks of a service on one worker fail together
+constexpr double kSuspectPenalty = 0.5;   ///< the worker has failed recently
+constexpr double kLeftoverPenalty = 2.0;  ///< runs on leftover processors slow down services
+constexpr double kSiblingPenalty = 0.3;   ///< tasks of a service on one worker fail together
 constexpr double kSameRackBonus = 0.5;
 
 // Weights of a worker's slowness, which is 1 for an average worker. Workers of one pool differ in
@@ -154,10 +154,10 @@
   }
   if (spec.service) {
     score += kSiblingPenalty * CountRunsOn(step, worker);
-    score += worker.leftover_runs > 0 ? kBesideLeftoverPenalty : 0;
+    score += worker.leftover_runs > 0 ? kLeftoverPenalty : 0;
   }
   if (spec.uses_leftover && worker.service_runs > 0) {
-    score += kBesideLeftoverPenalty;
+    score += kLeftoverPenalty;
   }
   if (spec.same_rack && std::ranges::any_of(step.runs, [&](const auto* run) {
         return run->worker->facts.rack == worker.facts.rack;
@@ -195,7 +195,7 @@
     fill_.VisitOpen(step.job->pool, RequiredProcessorsMilli(step), IsUrgent(step),
                     [&](worker_state& each) {
                       consider(each);
-                      return eligible < kMaxConsideredWorkers;
+                      return eligible < kMaxCandidateWorkers;
                     });
     return best;
   }
--- a/src/rosearch/sched/scheduler_reports.cc
+++ b/src/rosearch/sched/scheduler_reports.cc
@@ -55,9 +55,9 @@
   new_run->worker = &worker;
   new_run->started_at = now.steady;
   new_run->progressed_at = now.steady;
-  ++worker.strangers;
+  ++worker.unknown_runs;
   auto& run = *(worker.runs[row.task] = std::move(new_run));
-  StopRun(run, stop_reason::kStranger, now);
+  StopRun(run, stop_reason::kUnknownRun, now);
 }
 
 void scheduler::AdoptRun(worker_state& worker, const running_row& row, const instant& now) {
@@ -131,7 +131,7 @@
   for (const auto& row : report.ended) {
     if (row.number > worker.seen_end) {
       worker.seen_end = row.number;
-      unacked_.insert(worker_id);
+      workers_with_unstored_ends_.insert(worker_id);
       HandleEnd(worker, row, now);
     }
   }
@@ -221,7 +221,7 @@
   }
   // While many workers are unsettled, old tasks wait for all of them, so a single answer can't
   // unblock a step.
-  if (unsettled_.size() <= kMaxUnreachableWorkers) {
+  if (unsettled_.size() <= kMaxUnsettledWorkers) {
     RecordRoomForAnyStep();
   }
   if (how != "answered") {
@@ -243,7 +243,7 @@
     return;
   }
   ReleaseTasks(*found->second);
-  unacked_.erase(id);
+  workers_with_unstored_ends_.erase(id);
   for (const auto& [job_id, job] : jobs_) {
     for (const auto& occurrence : job->occurrences) {
       for (const auto& step : occurrence->steps) {
--- a/src/rosearch/sched/scheduler_runs.cc
+++ b/src/rosearch/sched/scheduler_runs.cc
@@ -29,10 +29,10 @@
   return static_cast<std::uint32_t>((epoch_ - 1) * kMaxRunsPerEpoch + count);
 }
 
-duration scheduler::LongestLease() const {
+duration scheduler::MaxLeaseDuration() const {
   const auto lease_bound = std::chrono::duration<double, std::micro>{settings_.max_lease} *
                            (1.0 + settings_.max_clock_drift);
-  return std::chrono::duration_cast<duration>(lease_bound) + settings_.lapse_margin;
+  return std::chrono::duration_cast<duration>(lease_bound) + settings_.lease_expiry_margin;
 }
 
 live_run* scheduler::FindRun(const std::string& worker, const std::string& task,
@@ -79,7 +79,7 @@
 
 void scheduler::OrderStart(live_run& run, const instant& now) {
   auto& worker = *run.worker;
-  worker.lease_until = std::max(worker.lease_until, now.steady + LongestLease());
+  worker.lease_until = std::max(worker.lease_until, now.steady + MaxLeaseDuration());
   orders_.emplace_back(start_order{worker.facts.id, worker.facts.address, run.task, run.run,
                                    run.step->job->spec, run.checkpoint, run.ticket});
 }
@@ -160,7 +160,7 @@
       retiring_.push_back(step.job->spec->id);
     }
   } else {
-    --worker.strangers;
+    --worker.unknown_runs;
   }
   RecordFreedRoom(worker);
   worker.runs.erase(std::string{run.task});
@@ -304,7 +304,7 @@
   auto& worker = *run.worker;
   if (outcome == start_outcome::kUnhealthy) {
     worker.health.RecordFailure(settings_, now.steady);
-    worker.health.ExcludeUntil(now.steady + settings_.refusal_pause);
+    worker.health.ExcludeUntil(now.steady + settings_.refusal_backoff);
   } else if (outcome == start_outcome::kBadTicket) {
     if (auto* const allowance = run.step->advice.Find(&worker)) {
       allowance->expires = time_point{};
@@ -312,7 +312,7 @@
   } else if (outcome == start_outcome::kNotSent) {
     worker.health.ExcludeUntil(now.steady + kUnreachableBackoff);
   } else {
-    worker.health.ExcludeUntil(now.steady + settings_.refusal_pause);
+    worker.health.ExcludeUntil(now.steady + settings_.refusal_backoff);
   }
   if (run.tries > 1) {
     // An earlier copy of the order was never answered and may still be executed. Without the stop,
--- a/src/rosearch/sched/scheduler_settings.h
+++ b/src/rosearch/sched/scheduler_settings.h
@@ -27,7 +27,7 @@
   /// rounding.
   double max_clock_drift{0.025};
   /// Margin for message delivery that is added to a lease's duration, beyond `max_clock_drift`.
-  duration lapse_margin{std::chrono::milliseconds{200}};
+  duration lease_expiry_margin{std::chrono::milliseconds{200}};
   /// After a leader change: how long the former leader may have continued to send before it noticed
   /// that it was partitioned.
   duration former_leader_send_margin{std::chrono::milliseconds{2'000}};
@@ -60,7 +60,7 @@
   duration max_quarantine{std::chrono::seconds{8}};
   std::uint32_t failures_to_quarantine{2};
   /// Pause for a worker that reports bad health or refuses a start for lack of room.
-  duration refusal_pause{std::chrono::milliseconds{700}};
+  duration refusal_backoff{std::chrono::milliseconds{700}};
   /// A run without progress for longer than this and than half its estimate counts as stuck.
   duration stuck_timeout{std::chrono::milliseconds{2'500}};
   /// A run that is slower than its siblings elsewhere by this factor counts as slow. The factor is
--- a/src/rosearch/sched/scheduler_store.cc
+++ b/src/rosearch/sched/scheduler_store.cc
@@ -47,7 +47,7 @@
         worker->facts.pool = stored.pool();
         worker->listed = false;
       }
-      worker->lease_until = now.steady + settings_.former_leader_send_margin + LongestLease();
+      worker->lease_until = now.steady + settings_.former_leader_send_margin + MaxLeaseDuration();
       if (stored.closed()) {
         worker->held_tasks.assign(stored.tasks().begin(), stored.tasks().end());
       } else {
@@ -155,7 +155,7 @@
     effects.workers = true;
     batch.records.push_back({std::string{kWorkersKey}, EncodeWorkers(effects.recorded)});
   }
-  for (const auto& id : unacked_) {
+  for (const auto& id : workers_with_unstored_ends_) {
     effects.ends.emplace_back(id, workers_.at(id)->seen_end);
   }
   urgent_ = false;
@@ -191,9 +191,9 @@
     const auto found = workers_.find(id);
     if (found != workers_.end() && found->second->acked_end < end) {
       found->second->acked_end = end;
-      acked_.push_back(id);
+      workers_with_stored_ends_.push_back(id);
       if (end == found->second->seen_end) {
-        unacked_.erase(id);
+        workers_with_unstored_ends_.erase(id);
       }
     }
   }
@@ -302,10 +302,10 @@
   if (!dirty_.empty() || !storing_.empty()) {
     return;
   }
-  for (const auto& id : std::exchange(unacked_, {})) {
+  for (const auto& id : std::exchange(workers_with_unstored_ends_, {})) {
     auto& worker = *workers_.at(id);
     worker.acked_end = worker.seen_end;
-    acked_.push_back(id);
+    workers_with_stored_ends_.push_back(id);
   }
 }
 
--- a/src/rosearch/sched/scheduler_views.cc
+++ b/src/rosearch/sched/scheduler_views.cc
@@ -27,7 +27,7 @@
 
 std::ostream& operator<<(std::ostream& out, const wait_view& wait) {
   return out << wait.what << " unsettled=" << wait.unsettled << " out_of_use=" << wait.out_of_use
-             << " left_alone=" << wait.left_alone << " unfit=" << wait.unfit
+             << " left_alone=" << wait.quarantined << " unfit=" << wait.unfit
              << " not_allowed=" << wait.not_allowed << " no_room=" << wait.no_room
              << " open=" << wait.open;
 }
@@ -77,7 +77,7 @@
     if (!worker->MayStart()) {
       ++view.out_of_use;
     } else if (!worker->health.IsUsable(now.steady)) {
-      ++view.left_alone;
+      ++view.quarantined;
     } else if (!IsEligible(step, nullptr, *worker, now)) {
       ++view.unfit;
     } else if (step.advice.Refused(id)) {
@@ -110,7 +110,7 @@
                  .Add("waits_for", wait.what)
                  .Add("unsettled", wait.unsettled)
                  .Add("out_of_use", wait.out_of_use)
-                 .Add("left_alone", wait.left_alone)
+                 .Add("left_alone", wait.quarantined)
                  .Add("unfit", wait.unfit)
                  .Add("not_allowed", wait.not_allowed)
                  .Add("no_room", wait.no_room)
@@ -127,7 +127,7 @@
         << " recorded=" << worker->recorded << " draining=" << worker->facts.draining
         << " cpu_free=" << worker->Free().processors_milli
         << " mb_free=" << worker->Free().memory_mb << " runs=" << worker->runs.size()
-        << " strangers=" << worker->strangers
+        << " strangers=" << worker->unknown_runs
         << " lease_ms=" << Millis(worker->lease_until - now.steady)
         << " report_ms_ago=" << Millis(now.steady - worker->report_sent_at)
         << " unacked=" << worker->seen_end - worker->acked_end
--- a/src/rosearch/sched/step_advice.h
+++ b/src/rosearch/sched/step_advice.h
@@ -16,7 +16,7 @@
 /// The advice received for one step: which workers may run it, which must not, and the state of the
 /// query in flight. Whether a worker may run the step doesn't change during the step's lifetime;
 /// only the tickets that prove it expire.
-class advice_book {
+class step_advice {
  public:
   /// A worker that may run the step, and the ticket that a start order must carry as proof.
   struct allowance {
--- a/src/rosearch/sched/worker_facts.h
+++ b/src/rosearch/sched/worker_facts.h
@@ -38,7 +38,7 @@
   kDone,
   kFailed,           ///< through a fault of the task or of the worker
   kStopped,          ///< on the scheduler's order
-  kLapsed,           ///< the worker's lease expired
+  kLeaseExpired,     ///< the worker's lease expired
   kGangMemberEnded,  ///< another member of its gang ended
   kGangIncomplete,   ///< the other members of its gang didn't start
   kLost,  ///< concluded by the scheduler: the worker restarted, or its lease has certainly expired
--- a/src/rosearch/sched/worker_state.h
+++ b/src/rosearch/sched/worker_state.h
@@ -35,7 +35,7 @@
   kStuck,       ///< it makes no progress
   kLeaving,     ///< its worker leaves before the run would end
   kSlow,        ///< so slow that a restart elsewhere would end sooner
-  kStranger,    ///< belongs to no known job
+  kUnknownRun,  ///< belongs to no known job
 };
 
 /// @return the name of a reason in logs.
@@ -142,8 +142,8 @@
   /// a rolling replacement delayed all old jobs under a new leader for 8.4 s.
   bool recorded{false};
   std::vector<std::string> held_tasks;  ///< restored: may run here until the worker answers
-  std::uint32_t strangers{0};  ///< runs of unknown size; nothing may start while there are any
-  resources used{};            ///< charged by all runs that may be active
+  std::uint32_t unknown_runs{0};  ///< runs of unknown size; nothing may start while there are any
+  resources used{};               ///< charged by all runs that may be active
   /// Until then runs here may continue without contact to the leader; counted from the last send.
   time_point lease_until{};
   time_point leaves_at{kNever};  ///< while draining: runs can continue at least until then
@@ -175,7 +175,7 @@
   }
   /// @return whether runs may start there: it takes work, is stored as open and runs only known
   ///         tasks.
-  [[nodiscard]] bool MayStart() const { return TakesWork() && recorded && strangers == 0; }
+  [[nodiscard]] bool MayStart() const { return TakesWork() && recorded && unknown_runs == 0; }
 };
 
 }  // namespace rosearch::sched
--- a/test/rosearch/sched/cell_world.cc
+++ b/test/rosearch/sched/cell_world.cc
@@ -137,7 +137,7 @@
   for (auto& [id, worker] : workers_) {
     AdvanceWorker(worker);
   }
-  leader_->NoteDelay(now_ - due);
+  leader_->RecordLoopDelay(now_ - due);
   leader_->Tick(Now());
   RequestPass();
   ScheduleTick(kTickInterval);
@@ -211,7 +211,7 @@
       job.cancelled = job.cancelled.value_or(now_);
     }
   }
-  (void)leader_->TakeAcked();
+  (void)leader_->TakeWorkersWithStoredEnds();
   for (const auto& id : leader_->WatchedWorkers()) {
     if (watched_.insert(id).second) {
       SendWatch(id, epoch_);
@@ -274,7 +274,7 @@
 void cell_world::AdvanceWorker(fake_worker& worker) {
   if (now_ >= worker.lease_until) {
     while (!worker.running.empty()) {
-      EndRun(worker, worker.running.begin()->first, end_kind::kLapsed);
+      EndRun(worker, worker.running.begin()->first, end_kind::kLeaseExpired);
     }
   }
   std::vector<std::string> over;
