--- a/src/rosearch/core/error.cc
+++ b/src/rosearch/core/error.cc
@@ -8,7 +8,7 @@
 
 using enum error_kind;
 
-/// One row for each kind, in the order of the enumeration.
+/// One row per kind, in the order of `error_kind`.
 constexpr std::array kAnswers{
     error_answer{kInvalidRequest, "invalid_request", outcome::kNotRun, 400, false},
     error_answer{kUnknownCustomer, "unknown_customer", outcome::kNotRun, 403, false},
--- a/src/rosearch/core/id.h
+++ b/src/rosearch/core/id.h
@@ -11,15 +11,15 @@
 
 namespace rosearch {
 
-/// A name that can't be mixed up with a name of another kind.
-/// @tparam Tag  one empty type for each kind of name.
+/// Strongly typed string identifier: ids with different tags are different types.
+/// @tparam Tag  an empty type for each kind of id.
 template <typename Tag>
 class basic_id {
  public:
   basic_id() = default;
   explicit basic_id(std::string value) : value_{std::move(value)} {}
 
-  /// @return the name as text, as it stands in settings, messages and logs.
+  /// @return the text of the id, as used in settings, messages and logs.
   [[nodiscard]] const std::string& value() const noexcept { return value_; }
   [[nodiscard]] bool empty() const noexcept { return value_.empty(); }
 
@@ -41,13 +41,13 @@
 using task_id = basic_id<struct task_tag>;
 using vm_id = basic_id<struct vm_tag>;
 
-/// The number of a shard, counted from 0 within the cell.
+/// Zero-based index of a shard within the cell.
 using shard_number = std::uint32_t;
 
-/// Counts the assignments of one shard. Zero: never assigned.
+/// Number of times that a shard has been assigned. Zero: never assigned.
 using epoch_number = std::uint64_t;
 
-/// Drawn at random at each start of a process, so that a restarted entry is a different party.
+/// Random number chosen at each process start, to tell a restarted entry from its predecessor.
 using incarnation_number = std::uint64_t;
 
 /// The version of a configuration. Zero: none published yet.
--- a/src/rosearch/core/name.cc
+++ b/src/rosearch/core/name.cc
@@ -6,7 +6,7 @@
 namespace rosearch {
 namespace {
 
-constexpr std::size_t kLongestName = 128;
+constexpr std::size_t kMaxNameLength = 128;
 
 constexpr bool IsNameCharacter(char c) noexcept {
   return (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '.' ||
@@ -16,7 +16,8 @@
 }  // namespace
 
 bool IsValidName(std::string_view name) noexcept {
-  return !name.empty() && name.size() <= kLongestName && std::ranges::all_of(name, IsNameCharacter);
+  return !name.empty() && name.size() <= kMaxNameLength &&
+         std::ranges::all_of(name, IsNameCharacter);
 }
 
 }  // namespace rosearch
--- a/src/rosearch/core/name.h
+++ b/src/rosearch/core/name.h
@@ -5,8 +5,8 @@
 
 namespace rosearch {
 
-/// @return whether a customer, job, request or change may be called that: 1 to 128 of A-Z a-z 0-9
-///   . _ : - and nothing else, so that names can be joined into keys and stand in paths and
+/// @return whether the name is valid for a customer, job, request or change: 1 to 128 characters
+///   out of A-Z a-z 0-9 . _ : - so that names can be joined into keys and used in paths and
 ///   headers.
 [[nodiscard]] bool IsValidName(std::string_view name) noexcept;
 
--- a/src/rosearch/core/random_source.h
+++ b/src/rosearch/core/random_source.h
@@ -8,17 +8,17 @@
 
 namespace rosearch {
 
-/// A seeded source of random numbers; the same seed gives the same numbers on every machine.
+/// Seeded random number generator. The same seed gives the same sequence on every machine.
 class random_source {
  public:
   explicit random_source(std::uint64_t seed) : engine_{seed} {}
 
-  /// @return a number from `low` to `high`, both included. Undefined where `low` exceeds `high`.
+  /// @return a uniformly distributed number in [`low`, `high`]. Undefined if `low` exceeds `high`.
   [[nodiscard]] std::int64_t Between(std::int64_t low, std::int64_t high) {
     return boost::random::uniform_int_distribution<std::int64_t>{low, high}(engine_);
   }
 
-  /// @return true with the probability given, from 0 to 1.
+  /// @return true with the given probability, from 0 to 1.
   [[nodiscard]] bool Chance(double probability) {
     return boost::random::bernoulli_distribution<double>{probability}(engine_);
   }
--- a/src/rosearch/core/resources.h
+++ b/src/rosearch/core/resources.h
@@ -6,13 +6,13 @@
 
 namespace rosearch {
 
-/// What a VM holds or a task needs.
+/// Resources that a VM has or a task needs.
 struct resources {
   std::int64_t processors_milli{0};  ///< thousandths of a processor
   std::int64_t memory_mb{0};         ///< megabytes
   std::int64_t accelerators{0};      ///< whole accelerators
 
-  /// @return whether every part is at most that of `room`.
+  /// @return whether no component exceeds that of `room`.
   [[nodiscard]] constexpr bool FitsIn(const resources& room) const noexcept {
     return processors_milli <= room.processors_milli && memory_mb <= room.memory_mb &&
            accelerators <= room.accelerators;
--- a/src/rosearch/core/result.h
+++ b/src/rosearch/core/result.h
@@ -9,7 +9,7 @@
 
 namespace rosearch {
 
-/// A value, or the `error` that kept it from being made. Reading the absent one ends the process.
+/// A value or an `error`. Accessing the absent one terminates the process.
 template <typename T>
 using result = boost::outcome_v2::basic_result<T, error, boost::outcome_v2::policy::terminate>;
 
--- a/src/rosearch/core/time.h
+++ b/src/rosearch/core/time.h
@@ -5,8 +5,8 @@
 
 namespace rosearch {
 
-/// A process's own monotonic clock. Its readings mean nothing to another process: a message carries
-/// the time that is left, never a reading.
+/// Monotonic clock of this process. Its readings are meaningless in other processes: messages carry
+/// the remaining time, never a reading.
 struct monotonic_clock {
   using rep = std::chrono::microseconds::rep;
   using period = std::chrono::microseconds::period;
@@ -15,14 +15,14 @@
   static constexpr bool is_steady = true;
 };
 
-/// A moment by the monotonic clock of this process, in microseconds.
+/// Time point of the monotonic clock of this process, in microseconds.
 using time_point = monotonic_clock::time_point;
 
-/// A span of time in microseconds. Deadlines are stored as `time_point`; a span is only a setting
-/// or what a message carries.
+/// Duration in microseconds. Used only for settings and in messages; deadlines are stored as
+/// `time_point`.
 using duration = monotonic_clock::duration;
 
-/// Later than every moment that a process reaches.
+/// Later than any time point that a process reaches.
 inline constexpr time_point kNever = time_point::max();
 
 }  // namespace rosearch
--- a/src/rosearch/log/bounded_log.cc
+++ b/src/rosearch/log/bounded_log.cc
@@ -12,9 +12,9 @@
 namespace rosearch {
 namespace {
 
-/// So much is written with one call, in whole lines: a pipe takes up to 4 KB at once or not at all,
-/// so that lines of several processes on one pipe don't mix.
-constexpr std::size_t kMostAtOnce = 4'000;
+/// Max bytes per `write` call, cut at a line end. A pipe writes up to 4 KB atomically, so that
+/// lines of several processes on one pipe don't interleave.
+constexpr std::size_t kMaxWriteBytes = 4'000;
 
 void AppendTime(std::string& text) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -50,12 +50,12 @@
 void bounded_log::Write(const event_line& line) {
   const std::scoped_lock lock{mutex_};
   BeginSecond(SteadyNow());
-  const std::array most_of{settings_.detail_lines_per_second, settings_.request_lines_per_second,
-                           settings_.other_lines_per_second};
-  const auto kind = std::min(static_cast<std::size_t>(line.weight()), most_of.size() - 1);
+  const std::array limits{settings_.detail_lines_per_second, settings_.request_lines_per_second,
+                          settings_.other_lines_per_second};
+  const auto kind = std::min(static_cast<std::size_t>(line.weight()), limits.size() - 1);
   auto& count = written_[kind];
-  const auto most = most_of[kind];
-  if (count >= most || waiting_.size() + line.text().size() > settings_.waiting_bytes) {
+  const auto limit = limits[kind];
+  if (count >= limit || waiting_.size() + line.text().size() > settings_.waiting_bytes) {
     ++suppressed_;
     ++dropped_;
     return;
@@ -64,7 +64,7 @@
   AppendTime(waiting_);
   waiting_ += line.text();
   waiting_ += '\n';
-  if (waiting_.size() >= kMostAtOnce) {
+  if (waiting_.size() >= kMaxWriteBytes) {
     FlushLocked();
   }
 }
@@ -77,16 +77,16 @@
 void bounded_log::FlushLocked() {
   while (!waiting_.empty()) {
     auto size = waiting_.size();
-    if (size > kMostAtOnce) {
-      const auto line_end = waiting_.rfind('\n', kMostAtOnce - 1);
-      size = line_end == std::string::npos ? kMostAtOnce : line_end + 1;
+    if (size > kMaxWriteBytes) {
+      const auto line_end = waiting_.rfind('\n', kMaxWriteBytes - 1);
+      size = line_end == std::string::npos ? kMaxWriteBytes : line_end + 1;
     }
     const auto written = ::write(settings_.descriptor, waiting_.data(), size);
     if (written < 0 && errno == EINTR) {
       continue;
     }
     if (written <= 0) {
-      return;  // nobody reads just now: what waits is bounded, and lines beyond it are counted
+      return;  // not writable now: the buffer is bounded, and lines beyond it are counted
     }
     waiting_.erase(0, static_cast<std::size_t>(written));
   }
--- a/src/rosearch/log/bounded_log.h
+++ b/src/rosearch/log/bounded_log.h
@@ -12,25 +12,26 @@
 
 namespace rosearch {
 
-/// Bounds of a `bounded_log`.
+/// Rate and buffer limits of a `bounded_log`.
 struct bounded_log_settings {
   int descriptor{1};  ///< standard output
-  /// Lines about single steps of jobs, each second; more are counted, not written. At 180 starts a
-  /// second this lets every one through, and a burst costs no more than this.
+  /// Max lines of `kDetail` per second; further lines are counted but not written. Enough to log
+  /// every start at 180 starts a second, while it bounds the cost of a burst.
   std::uint32_t detail_lines_per_second{500};
-  /// Lines about requests that go well, each second. Apart from the former: where they shared 600
-  /// lines, a burst of 900 starts a second left jobs without a line that they were accepted.
+  /// Max lines of `kRequest` per second. Separate from the detail limit: with a shared limit of 600
+  /// lines, a burst of 900 starts a second suppressed the acceptance lines of some jobs.
   std::uint32_t request_lines_per_second{600};
-  /// Lines of every other kind, each second.
+  /// Max lines per second of all other kinds together.
   std::uint32_t other_lines_per_second{1'000};
-  /// What may wait for a reader of the output; beyond it lines are dropped and counted.
+  /// Max size of the lines that are buffered while the output isn't read; further lines are dropped
+  /// and counted.
   std::size_t waiting_bytes{256U << 10U};
 
   friend bool operator==(const bounded_log_settings&, const bounded_log_settings&) = default;
 };
 
-/// Writes lines to a descriptor without ever waiting for its reader. A reader that hangs would
-/// otherwise stop the whole process in the middle of a decision.
+/// Writes lines to a file descriptor without blocking. With blocking writes, a stalled reader would
+/// block the whole process in the middle of a decision.
 class bounded_log final : public event_sink {
  public:
   /// Makes the descriptor non-blocking.
@@ -38,11 +39,11 @@
 
   void Write(const event_line& line) override;
 
-  /// Hands what waits to the descriptor, as far as it takes it now. Call every few hundred
-  /// milliseconds, and last before the process ends.
+  /// Writes as much of the buffer as the descriptor accepts without blocking. Call every few
+  /// hundred milliseconds, and once more before the process ends.
   void Flush();
 
-  /// @return lines that were never written, since the start.
+  /// @return number of lines dropped since the start.
   [[nodiscard]] std::uint64_t Dropped() const;
 
  private:
@@ -53,8 +54,8 @@
   mutable std::mutex mutex_;
   std::string waiting_;
   time_point second_began_{};
-  std::array<std::uint32_t, 3> written_{};  ///< this second: details, requests, the rest
-  std::uint64_t suppressed_{0};             ///< in the present second
+  std::array<std::uint32_t, 3> written_{};  ///< current second: details, requests, others
+  std::uint64_t suppressed_{0};             ///< lines dropped in the current second
   std::uint64_t dropped_{0};
 };
 
--- a/src/rosearch/log/event_line.h
+++ b/src/rosearch/log/event_line.h
@@ -10,15 +10,16 @@
 
 namespace rosearch {
 
-/// How much a log line matters where not all can be written.
+/// Category of a log line. `bounded_log` limits details and requests separately from the other
+/// lines, so that a burst of them doesn't suppress failures and state changes.
 enum class event_weight {
-  kDetail,   ///< one step of many on a job's way: a run, a question for advice
-  kRequest,  ///< a request that goes well: taken in, accepted, ended
-  kFailure,  ///< a request that didn't get what its caller wanted
-  kBelief,   ///< a change of what the process holds to be true, start, stop
+  kDetail,   ///< a single step of a job, such as a run or an advice query
+  kRequest,  ///< a successful request: received, accepted, ended
+  kFailure,  ///< a failed or refused request
+  kBelief,   ///< a state change that the process detected, its start or stop
 };
 
-/// One event as a line of key=value pairs.
+/// An event, formatted as a line of key=value pairs.
 class event_line {
  public:
   /// @param name  one of the event names in docs/OPERATIONS.md.
@@ -28,7 +29,7 @@
     text_.append("event=").append(name);
   }
 
-  /// Adds a pair; spaces and line breaks in a value become underscores.
+  /// Appends a pair; spaces and control characters in the value are replaced by underscores.
   event_line& Add(std::string_view key, std::string_view value) {
     Key(key);
     for (const char c : value) {
@@ -44,7 +45,7 @@
     text_.append(std::begin(digits), end);
     return *this;
   }
-  /// Adds a span of time in whole milliseconds.
+  /// Appends a duration in whole milliseconds.
   template <typename Rep, typename Period>
   event_line& Add(std::string_view key, std::chrono::duration<Rep, Period> value) {
     return Add(key, std::chrono::duration_cast<std::chrono::milliseconds>(value).count());
@@ -64,7 +65,7 @@
   std::string text_;
 };
 
-/// Takes log lines. Implementations never block.
+/// Receives log lines. Implementations must not block.
 class event_sink {
  public:
   virtual ~event_sink() = default;
--- a/src/rosearch/metrics/metric_set.cc
+++ b/src/rosearch/metrics/metric_set.cc
@@ -11,21 +11,22 @@
 
 namespace bh = boost::histogram;
 
-/// From 0.1 ms to 100 s, eight bins for each power of ten.
+/// Logarithmic histogram bins from 0.1 ms to 100 s, eight per power of ten.
 constexpr unsigned kBins = 48;
-constexpr double kLeastMs = 0.1;
-constexpr double kMostMs = 100'000;
+constexpr double kMinMs = 0.1;
+constexpr double kMaxMs = 100'000;
 constexpr double kSecondsPerMs = 0.001;
 
 auto MakeHistogram() {
   return bh::make_histogram(
-      bh::axis::regular<double, bh::axis::transform::log>{kBins, kLeastMs, kMostMs});
+      bh::axis::regular<double, bh::axis::transform::log>{kBins, kMinMs, kMaxMs});
 }
 
 /// @return the name without labels.
 std::string FamilyOf(const std::string& name) { return name.substr(0, name.find('{')); }
 
-/// @return the labels of a name, as `a="1",`, so that another one can follow.
+/// @return the labels of a name with a trailing comma, such as `a="1",`, so that a label can be
+/// appended.
 std::string LabelsOf(const std::string& name) {
   const auto open = name.find('{');
   return open == std::string::npos ? std::string{}
@@ -60,12 +61,12 @@
 void metric_set::Observe(const std::string& name, duration span) {
   const auto ms = std::chrono::duration<double, std::milli>{span}.count();
   const std::scoped_lock lock{mutex_};
-  auto& box = histograms_[name];
-  if (!box) {
-    box = std::make_unique<histogram_box>();
+  auto& histogram = histograms_[name];
+  if (!histogram) {
+    histogram = std::make_unique<histogram_box>();
   }
-  box->values(ms);
-  box->sum_ms += ms;
+  histogram->values(ms);
+  histogram->sum_ms += ms;
 }
 
 void metric_set::Describe(const std::string& name, const std::string& help) {
@@ -97,27 +98,28 @@
   for (const auto& [name, value] : gauges_) {
     Head(out, name, "gauge", last);
     out << name << ' ';
-    // Six digits, as a stream writes them, would let a rate of bytes stand still at 10 MB.
+    // A stream prints six significant digits by default; a byte rate of 10 MB would then hide small
+    // changes.
     std::trunc(value) == value ? out << static_cast<std::int64_t>(value) : out << value;
     out << '\n';
   }
-  for (const auto& [name, box] : histograms_) {
+  for (const auto& [name, histogram] : histograms_) {
     Head(out, name, "histogram", last);
     const auto family = FamilyOf(name);
     const auto labels = LabelsOf(name);
-    const auto alone =
+    const auto label_set =
         labels.empty() ? std::string{} : '{' + labels.substr(0, labels.size() - 1) + '}';
     const double unit = family.ends_with("_seconds") ? kSecondsPerMs : 1.0;
-    double below = 0;
-    for (const auto& bin : bh::indexed(box->values, bh::coverage::all)) {
-      below += *bin;
+    double cumulative = 0;
+    for (const auto& bin : bh::indexed(histogram->values, bh::coverage::all)) {
+      cumulative += *bin;
       const auto upper = bin.bin().upper();
       out << family << "_bucket{" << labels << "le=\"";
       std::isinf(upper) ? out << "+Inf" : out << upper * unit;
-      out << "\"} " << below << '\n';
+      out << "\"} " << cumulative << '\n';
     }
-    out << family << "_count" << alone << ' ' << below << '\n';
-    out << family << "_sum" << alone << ' ' << box->sum_ms * unit << '\n';
+    out << family << "_count" << label_set << ' ' << cumulative << '\n';
+    out << family << "_sum" << label_set << ' ' << histogram->sum_ms * unit << '\n';
   }
   return out.str();
 }
--- a/src/rosearch/metrics/metric_set.h
+++ b/src/rosearch/metrics/metric_set.h
@@ -12,7 +12,7 @@
 
 namespace rosearch {
 
-/// Counters and histograms of one process, under their own lock.
+/// Counters, gauges and histograms of one process. Thread-safe.
 class metric_set {
  public:
   metric_set();
@@ -20,25 +20,26 @@
   metric_set(const metric_set&) = delete;
   metric_set& operator=(const metric_set&) = delete;
 
-  /// Says what a metric tells; shown beside it.
+  /// Sets the help text of a metric.
   /// @param name  without labels.
   void Describe(const std::string& name, const std::string& help);
 
-  /// Adds to a counter.
-  /// @param name  with labels, as `rosearch_calls_total{kind="request"}`.
+  /// Increments a counter.
+  /// @param name  with labels, such as `rosearch_calls_total{kind="request"}`.
   void Count(const std::string& name, std::uint64_t by = 1);
 
-  /// Sets a counter that is kept elsewhere.
+  /// Sets a counter whose value is maintained elsewhere.
   void SetTotal(const std::string& name, std::uint64_t value);
 
-  /// Sets a value that may go up and down.
+  /// Sets a gauge.
   void Set(const std::string& name, double value);
 
-  /// Takes one span of time into a histogram: in seconds where its name ends so, else in ms.
-  /// @param name  with labels, as `rosearch_wait_seconds{priority="0"}`.
+  /// Records a duration in a histogram. It is exported in seconds if the name without labels ends
+  /// with `_seconds`, otherwise in milliseconds.
+  /// @param name  with labels, such as `rosearch_wait_seconds{priority="0"}`.
   void Observe(const std::string& name, duration span);
 
-  /// @return everything in the Prometheus text format.
+  /// @return all metrics in the Prometheus text format.
   [[nodiscard]] std::string Text() const;
 
  private:
--- a/test/rosearch/core/error_test.cc
+++ b/test/rosearch/core/error_test.cc
@@ -6,7 +6,7 @@
 
 namespace rosearch {
 
-TEST_CASE("every kind of error has its own row and its own word") {
+TEST_CASE("every kind of error has its own row and its own name") {
   for (int kind = 0; kind <= static_cast<int>(error_kind::kInternal); ++kind) {
     const auto value = static_cast<error_kind>(kind);
     const auto& answer = AnswerFor(value);
--- a/test/rosearch/log/bounded_log_test.cc
+++ b/test/rosearch/log/bounded_log_test.cc
@@ -11,7 +11,7 @@
 namespace rosearch {
 namespace {
 
-/// A pipe whose reader reads when it is told to.
+/// A pipe that is read only by `ReadAll`.
 class pipe_pair {
  public:
   pipe_pair() { REQUIRE(pipe(ends_.data()) == 0); }
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a line has its event, its pairs and no blanks inside values") {
+TEST_CASE("a line has its event name, its key=value pairs and no spaces inside values") {
   pipe_pair ends;
   bounded_log log{{ends.writer()}};
   log.Write(event_line{"job_refused", event_weight::kFailure}.Add("job", "a b").Add("n", 3));
@@ -49,9 +49,9 @@
   CHECK(text.find("event=job_refused job=a_b n=3\n") != std::string::npos);
 }
 
-// Nobody reads the output. Where the process waited for its reader, every decision would stop in
-// the middle; callers would notice that nothing is answered any more.
-TEST_CASE("a reader that hangs never stops the writer") {
+// Guards against blocking writes: nobody reads the output, and a process that blocked on it would
+// stop in the middle of a decision and no longer answer its callers.
+TEST_CASE("a stalled reader never blocks the writer") {
   pipe_pair ends;
   bounded_log_settings settings{ends.writer()};
   settings.other_lines_per_second = 1'000'000;
--- a/test/rosearch/metrics/metric_set_test.cc
+++ b/test/rosearch/metrics/metric_set_test.cc
@@ -17,8 +17,9 @@
         "rosearch_answers_total{status=\"200\"} 2\nrosearch_answers_total{status=\"503\"} 1\n");
 }
 
-// An alarm on seconds that are milliseconds rings a thousand times too late.
-TEST_CASE("spans are told in the unit that the name says") {
+// Guards against a metric in seconds that is exported in milliseconds or the reverse: alerts on it
+// would be off by a factor of 1000.
+TEST_CASE("durations are exported in the unit that the metric name gives") {
   metric_set metrics;
   metrics.Observe("rosearch_append_seconds", milliseconds{250});
   metrics.Observe("rosearch_http_ms", milliseconds{250});
@@ -29,7 +30,7 @@
   CHECK(text.find("rosearch_http_ms_bucket{le=\"100000\"} 1\n") != std::string::npos);
 }
 
-TEST_CASE("labels of a histogram stand in each of its lines") {
+TEST_CASE("every line of a histogram carries its labels") {
   metric_set metrics;
   metrics.Observe("rosearch_wait_seconds{priority=\"0\"}", milliseconds{250});
   const auto text = metrics.Text();
