--- a/src/rosearch/cell/internal/leader_orders.h
+++ b/src/rosearch/cell/internal/leader_orders.h
@@ -13,7 +13,7 @@
   metrics_.Observe("rosearch_loop_delay_seconds", delay);
   const bool late = delay > settings_.lateness_threshold;
   if (std::exchange(late_, late) != late) {
-    log_.Write(event_line{late ? "leader_late" : "leader_prompt", event_weight::kBelief}
+    log_.Write(event_line{late ? "leader_late" : "leader_prompt", event_weight::kStateChange}
                    .Add("epoch", epoch_)
                    .Add("delay_ms", delay));
   }
--- a/src/rosearch/cell/internal/leader_store.h
+++ b/src/rosearch/cell/internal/leader_store.h
@@ -17,7 +17,7 @@
     return;
   }
   store_reached_ = reached;
-  log_.Write(event_line{reached ? "store_regained" : "store_lost", event_weight::kBelief}.Add(
+  log_.Write(event_line{reached ? "store_regained" : "store_lost", event_weight::kStateChange}.Add(
       "away_ms", reached ? now - store_state_changed_at_ : duration{}));
   store_state_changed_at_ = now;
 }
@@ -147,7 +147,7 @@
   const bool already_stored =
       answer.outcome == append_outcome::kOutOfSequence && answer.next_sequence > batch->sequence;
   if (already_stored) {
-    log_.Write(event_line{"append_found_stored", event_weight::kBelief}
+    log_.Write(event_line{"append_found_stored", event_weight::kStateChange}
                    .Add("epoch", epoch_)
                    .Add("batch", number)
                    .Add("sequence", batch->sequence)
--- a/src/rosearch/cell/internal/leader_takeover.h
+++ b/src/rosearch/cell/internal/leader_takeover.h
@@ -120,7 +120,7 @@
   last_tick_ = Boottime();
   const auto took = SteadyNow() - began_at_;
   metrics_.Observe("rosearch_takeover_seconds", took);
-  log_.Write(event_line{"leader_serves", event_weight::kBelief}
+  log_.Write(event_line{"leader_serves", event_weight::kStateChange}
                  .Add("epoch", epoch_)
                  .Add("took_ms", took)
                  .Add("version", scheduler_.configuration().version));
@@ -136,7 +136,7 @@
   if (std::exchange(ended_, true)) {
     return;
   }
-  log_.Write(event_line{"leader_ends", event_weight::kBelief}
+  log_.Write(event_line{"leader_ends", event_weight::kStateChange}
                  .Add("epoch", epoch_)
                  .Add("cause", cause)
                  .Add("led_ms", SteadyNow() - began_at_));
--- a/src/rosearch/cell/internal/node_leadership.h
+++ b/src/rosearch/cell/internal/node_leadership.h
@@ -53,7 +53,7 @@
   if (IsLeading() || stopping_ || peer != election_.KnownLeader().address) {
     return;
   }
-  log_.Write(event_line{"leader_connection_broken", event_weight::kBelief}
+  log_.Write(event_line{"leader_connection_broken", event_weight::kStateChange}
                  .Add("epoch", election_.KnownLeader().epoch)
                  .Add("leader", peer)
                  .Add("heard_ms_ago", SteadyNow() - election_.LastAnswerAt()));
@@ -87,7 +87,7 @@
         if (!refused || IsLeading() || stopping_ || epoch != election_.KnownLeader().epoch) {
           return;
         }
-        log_.Write(event_line{"leader_gone", event_weight::kBelief}
+        log_.Write(event_line{"leader_gone", event_weight::kStateChange}
                        .Add("epoch", epoch)
                        .Add("leader", election_.KnownLeader().address)
                        .Add("cause", "connection_refused"));
@@ -216,7 +216,7 @@
     return;
   }
   offered_at_ = now;
-  log_.Write(event_line{"leadership_offered", event_weight::kBelief}
+  log_.Write(event_line{"leadership_offered", event_weight::kStateChange}
                  .Add("epoch", leader_->epoch())
                  .Add("to", larger.size())
                  .Add("processor_milli", settings_.processor_milli)
@@ -279,7 +279,7 @@
   if (!election_.OnLeadership(claimed, SteadyNow())) {
     return;
   }
-  log_.Write(event_line{"leader_known", event_weight::kBelief}
+  log_.Write(event_line{"leader_known", event_weight::kStateChange}
                  .Add("epoch", claimed.epoch)
                  .Add("leader", claimed.address)
                  .Add("name", claimed.name));
@@ -403,7 +403,7 @@
   }
   if (suspected_epoch_ != election_.KnownLeader().epoch) {
     suspected_epoch_ = election_.KnownLeader().epoch;
-    log_.Write(event_line{"leader_doubted", event_weight::kBelief}
+    log_.Write(event_line{"leader_doubted", event_weight::kStateChange}
                    .Add("epoch", suspected_epoch_)
                    .Add("heard_ms_ago", now - election_.LastAnswerAt())
                    .Add("asked", asked.size())
@@ -443,7 +443,7 @@
   *claim.mutable_member() = Self();
   claim.set_incarnation(incarnation_);
   const auto bytes = claim.SerializeAsString();
-  log_.Write(event_line{"leadership_claimed", event_weight::kBelief}
+  log_.Write(event_line{"leadership_claimed", event_weight::kStateChange}
                  .Add("at", next_claim_offset_)
                  .Add("known_epoch", election_.KnownLeader().epoch)
                  .Add("peers", members_.size()));
--- a/src/rosearch/cell/leader.h
+++ b/src/rosearch/cell/leader.h
@@ -122,7 +122,7 @@
   /// Fences the former leader and takes over its state.
   void Begin() {
     began_at_ = SteadyNow();
-    log_.Write(event_line{"leader_begins", event_weight::kBelief}.Add("epoch", epoch_));
+    log_.Write(event_line{"leader_begins", event_weight::kStateChange}.Add("epoch", epoch_));
     last_tick_ = Boottime();
     OnNoNewerClaim(SteadyNow());
     // Run concurrently: in sequence, callers would wait for several answers of a slow store.
@@ -233,7 +233,8 @@
   void DetectProcessPause() {
     const auto now = Boottime();
     if (now - last_tick_ > settings_.pause_threshold) {
-      log_.Write(event_line{"stood_still", event_weight::kBelief}.Add("for_ms", now - last_tick_));
+      log_.Write(
+          event_line{"stood_still", event_weight::kStateChange}.Add("for_ms", now - last_tick_));
       resumed_at_ = SteadyNow();
       confirmed_at_ = time_point{};
       VerifyLeadership();
--- a/src/rosearch/cell/relayed_client.cc
+++ b/src/rosearch/cell/relayed_client.cc
@@ -323,7 +323,7 @@
   }
   until = now + kRelayExclusion;
   if (log_ != nullptr) {
-    log_->Write(event_line{"relay_silent", event_weight::kBelief}
+    log_->Write(event_line{"relay_silent", event_weight::kStateChange}
                     .Add("relay", relay)
                     .Add("left_alone_ms", kRelayExclusion));
   }
--- a/src/rosearch/log/bounded_log.cc
+++ b/src/rosearch/log/bounded_log.cc
@@ -32,39 +32,40 @@
   }
 }
 
-void bounded_log::BeginSecond(time_point now) {
-  if (now - second_began_ < std::chrono::seconds{1}) {
+void bounded_log::UpdateRateWindow(time_point now) {
+  if (now - window_start_ < std::chrono::seconds{1}) {
     return;
   }
   if (suppressed_ > 0) {
-    AppendTime(waiting_);
-    waiting_ +=
-        event_line{"log_suppressed", event_weight::kBelief}.Add("lines", suppressed_).text();
-    waiting_ += '\n';
+    AppendTime(buffer_);
+    buffer_ +=
+        event_line{"log_suppressed", event_weight::kStateChange}.Add("lines", suppressed_).text();
+    buffer_ += '\n';
   }
-  second_began_ = now;
+  window_start_ = now;
   written_ = {};
   suppressed_ = 0;
 }
 
 void bounded_log::Write(const event_line& line) {
   const std::scoped_lock lock{mutex_};
-  BeginSecond(SteadyNow());
-  const std::array limits{settings_.detail_lines_per_second, settings_.request_lines_per_second,
-                          settings_.other_lines_per_second};
+  UpdateRateWindow(SteadyNow());
+  const std::array limits{settings_.max_detail_lines_per_second,
+                          settings_.max_request_lines_per_second,
+                          settings_.max_other_lines_per_second};
   const auto kind = std::min(static_cast<std::size_t>(line.weight()), limits.size() - 1);
   auto& count = written_[kind];
   const auto limit = limits[kind];
-  if (count >= limit || waiting_.size() + line.text().size() > settings_.waiting_bytes) {
+  if (count >= limit || buffer_.size() + line.text().size() > settings_.max_buffered_bytes) {
     ++suppressed_;
     ++dropped_;
     return;
   }
   ++count;
-  AppendTime(waiting_);
-  waiting_ += line.text();
-  waiting_ += '\n';
-  if (waiting_.size() >= kMaxWriteBytes) {
+  AppendTime(buffer_);
+  buffer_ += line.text();
+  buffer_ += '\n';
+  if (buffer_.size() >= kMaxWriteBytes) {
     FlushLocked();
   }
 }
@@ -75,24 +76,24 @@
 }
 
 void bounded_log::FlushLocked() {
-  while (!waiting_.empty()) {
-    auto size = waiting_.size();
+  while (!buffer_.empty()) {
+    auto size = buffer_.size();
     if (size > kMaxWriteBytes) {
-      const auto line_end = waiting_.rfind('\n', kMaxWriteBytes - 1);
+      const auto line_end = buffer_.rfind('\n', kMaxWriteBytes - 1);
       size = line_end == std::string::npos ? kMaxWriteBytes : line_end + 1;
     }
-    const auto written = ::write(settings_.descriptor, waiting_.data(), size);
+    const auto written = ::write(settings_.descriptor, buffer_.data(), size);
     if (written < 0 && errno == EINTR) {
       continue;
     }
     if (written <= 0) {
       return;  // not writable now: the buffer is bounded, and lines beyond it are counted
     }
-    waiting_.erase(0, static_cast<std::size_t>(written));
+    buffer_.erase(0, static_cast<std::size_t>(written));
   }
 }
 
-std::uint64_t bounded_log::Dropped() const {
+std::uint64_t bounded_log::DroppedLines() const {
   const std::scoped_lock lock{mutex_};
   return dropped_;
 }
--- a/src/rosearch/log/bounded_log.h
+++ b/src/rosearch/log/bounded_log.h
@@ -17,15 +17,15 @@
   int descriptor{1};  ///< standard output
   /// Max lines of `kDetail` per second; further lines are counted but not written. Enough to log
   /// every start at 180 starts a second, while it bounds the cost of a burst.
-  std::uint32_t detail_lines_per_second{500};
+  std::uint32_t max_detail_lines_per_second{500};
   /// Max lines of `kRequest` per second. Separate from the detail limit: with a shared limit of 600
   /// lines, a burst of 900 starts a second suppressed the acceptance lines of some jobs.
-  std::uint32_t request_lines_per_second{600};
+  std::uint32_t max_request_lines_per_second{600};
   /// Max lines per second of all other kinds together.
-  std::uint32_t other_lines_per_second{1'000};
+  std::uint32_t max_other_lines_per_second{1'000};
   /// Max size of the lines that are buffered while the output isn't read; further lines are dropped
   /// and counted.
-  std::size_t waiting_bytes{256U << 10U};
+  std::size_t max_buffered_bytes{256U << 10U};
 
   friend bool operator==(const bounded_log_settings&, const bounded_log_settings&) = default;
 };
@@ -44,16 +44,16 @@
   void Flush();
 
   /// @return number of lines dropped since the start.
-  [[nodiscard]] std::uint64_t Dropped() const;
+  [[nodiscard]] std::uint64_t DroppedLines() const;
 
  private:
-  void BeginSecond(time_point now);
+  void UpdateRateWindow(time_point now);
   void FlushLocked();
 
   bounded_log_settings settings_;
   mutable std::mutex mutex_;
-  std::string waiting_;
-  time_point second_began_{};
+  std::string buffer_;
+  time_point window_start_{};
   std::array<std::uint32_t, 3> written_{};  ///< current second: details, requests, others
   std::uint64_t suppressed_{0};             ///< lines dropped in the current second
   std::uint64_t dropped_{0};
--- a/src/rosearch/log/event_line.h
+++ b/src/rosearch/log/event_line.h
@@ -13,10 +13,10 @@
 /// Category of a log line. `bounded_log` limits details and requests separately from the other
 /// lines, so that a burst of them doesn't suppress failures and state changes.
 enum class event_weight {
-  kDetail,   ///< a single step of a job, such as a run or an advice query
-  kRequest,  ///< a successful request: received, accepted, ended
-  kFailure,  ///< a failed or refused request
-  kBelief,   ///< a state change that the process detected, its start or stop
+  kDetail,       ///< a single step of a job, such as a run or an advice query
+  kRequest,      ///< a successful request: received, accepted, ended
+  kFailure,      ///< a failed or refused request
+  kStateChange,  ///< a state change that the process detected, its start or stop
 };
 
 /// An event, formatted as a line of key=value pairs.
@@ -31,7 +31,7 @@
 
   /// Appends a pair; spaces and control characters in the value are replaced by underscores.
   event_line& Add(std::string_view key, std::string_view value) {
-    Key(key);
+    AppendKey(key);
     for (const char c : value) {
       text_.push_back(static_cast<unsigned char>(c) <= ' ' ? '_' : c);
     }
@@ -39,7 +39,7 @@
   }
   template <std::integral Number>
   event_line& Add(std::string_view key, Number value) {
-    Key(key);
+    AppendKey(key);
     char digits[24];
     const auto end = std::to_chars(std::begin(digits), std::end(digits), +value).ptr;
     text_.append(std::begin(digits), end);
@@ -55,7 +55,7 @@
   [[nodiscard]] const std::string& text() const noexcept { return text_; }
 
  private:
-  void Key(std::string_view key) {
+  void AppendKey(std::string_view key) {
     text_.push_back(' ');
     text_.append(key);
     text_.push_back('=');
--- a/src/rosearch/metrics/metric_set.cc
+++ b/src/rosearch/metrics/metric_set.cc
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-struct metric_set::histogram_box {
+struct metric_set::histogram_data {
   decltype(MakeHistogram()) values{MakeHistogram()};
   double sum_ms{0};
 };
@@ -63,7 +63,7 @@
   const std::scoped_lock lock{mutex_};
   auto& histogram = histograms_[name];
   if (!histogram) {
-    histogram = std::make_unique<histogram_box>();
+    histogram = std::make_unique<histogram_data>();
   }
   histogram->values(ms);
   histogram->sum_ms += ms;
@@ -74,8 +74,8 @@
   help_[name] = help;
 }
 
-void metric_set::Head(std::ostream& out, const std::string& name, const char* type,
-                      std::string& last) const {
+void metric_set::WriteFamilyHeader(std::ostream& out, const std::string& name, const char* type,
+                                   std::string& last) const {
   auto family = FamilyOf(name);
   if (family == last) {
     return;
@@ -92,11 +92,11 @@
   const std::scoped_lock lock{mutex_};
   std::string last;
   for (const auto& [name, value] : counters_) {
-    Head(out, name, "counter", last);
+    WriteFamilyHeader(out, name, "counter", last);
     out << name << ' ' << value << '\n';
   }
   for (const auto& [name, value] : gauges_) {
-    Head(out, name, "gauge", last);
+    WriteFamilyHeader(out, name, "gauge", last);
     out << name << ' ';
     // A stream prints six significant digits by default; a byte rate of 10 MB would then hide small
     // changes.
@@ -104,7 +104,7 @@
     out << '\n';
   }
   for (const auto& [name, histogram] : histograms_) {
-    Head(out, name, "histogram", last);
+    WriteFamilyHeader(out, name, "histogram", last);
     const auto family = FamilyOf(name);
     const auto labels = LabelsOf(name);
     const auto label_set =
--- a/src/rosearch/metrics/metric_set.h
+++ b/src/rosearch/metrics/metric_set.h
@@ -43,15 +43,16 @@
   [[nodiscard]] std::string Text() const;
 
  private:
-  struct histogram_box;
+  struct histogram_data;
 
-  void Head(std::ostream& out, const std::string& name, const char* type, std::string& last) const;
+  void WriteFamilyHeader(std::ostream& out, const std::string& name, const char* type,
+                         std::string& last) const;
 
   mutable std::mutex mutex_;
   std::map<std::string, std::string> help_;
   std::map<std::string, std::uint64_t> counters_;
   std::map<std::string, double> gauges_;
-  std::map<std::string, std::unique_ptr<histogram_box>> histograms_;
+  std::map<std::string, std::unique_ptr<histogram_data>> histograms_;
 };
 
 }  // namespace rosearch
--- a/src/rosearch/sched/scheduler.cc
+++ b/src/rosearch/sched/scheduler.cc
@@ -38,7 +38,7 @@
     worker->leaves_at = facts.draining ? now.steady + facts.min_time_left : kNever;
     fill_.Update(*worker);
     workers_dirty_ = true;
-    log_.Write(event_line{"worker_found", event_weight::kBelief}
+    log_.Write(event_line{"worker_found", event_weight::kStateChange}
                    .Add("worker", facts.id)
                    .Add("address", facts.address)
                    .Add("pool", facts.pool)
@@ -49,7 +49,7 @@
   worker->listed = true;
   if (facts.draining && !worker->facts.draining) {
     worker->leaves_at = now.steady + facts.min_time_left;
-    log_.Write(event_line{"worker_draining", event_weight::kBelief}
+    log_.Write(event_line{"worker_draining", event_weight::kStateChange}
                    .Add("worker", facts.id)
                    .Add("runs", worker->runs.size())
                    .Add("left_ms", facts.min_time_left));
@@ -71,7 +71,7 @@
     return;
   }
   found->second->listed = false;
-  log_.Write(event_line{"worker_unlisted", event_weight::kBelief}
+  log_.Write(event_line{"worker_unlisted", event_weight::kStateChange}
                  .Add("worker", id)
                  .Add("runs", found->second->runs.size()));
 }
@@ -94,7 +94,7 @@
   const bool live = worker.session == session_phase::kLive;
   const bool lease_expired = now.steady >= worker.lease_until && !unsettled_.contains(id);
   if (!worker.listed && worker.runs.empty() && (live || lease_expired)) {
-    log_.Write(event_line{"worker_dropped", event_weight::kBelief}.Add("worker", id));
+    log_.Write(event_line{"worker_dropped", event_weight::kStateChange}.Add("worker", id));
     DropWorker(id);
     return std::nullopt;
   }
--- a/src/rosearch/sched/scheduler_jobs.cc
+++ b/src/rosearch/sched/scheduler_jobs.cc
@@ -97,7 +97,7 @@
   if (configuration.version <= configuration_.version) {
     return;
   }
-  log_.Write(event_line{"configuration", event_weight::kBelief}
+  log_.Write(event_line{"configuration", event_weight::kStateChange}
                  .Add("version", configuration.version)
                  .Add("before", configuration_.version)
                  .Add("queues", configuration.queues.size()));
--- a/src/rosearch/sched/scheduler_progress.cc
+++ b/src/rosearch/sched/scheduler_progress.cc
@@ -164,7 +164,7 @@
   }
   if (worker.health.IsUsable(now.steady)) {
     const auto quarantine = worker.health.RecordSlowRun(settings_, now.steady);
-    log_.Write(event_line{"worker_slow", event_weight::kBelief}
+    log_.Write(event_line{"worker_slow", event_weight::kStateChange}
                    .Add("worker", worker.facts.id)
                    .Add("slow_runs", slow.size())
                    .Add("judged", compared)
--- a/src/rosearch/sched/scheduler_reports.cc
+++ b/src/rosearch/sched/scheduler_reports.cc
@@ -120,7 +120,7 @@
   }
   auto& worker = *found->second;
   if (worker.session != session_phase::kLive) {
-    log_.Write(event_line{"worker_live", event_weight::kBelief}
+    log_.Write(event_line{"worker_live", event_weight::kStateChange}
                    .Add("worker", worker_id)
                    .Add("running", report.running.size())
                    .Add("ended", report.ended.size())
@@ -175,7 +175,7 @@
 
 void scheduler::EndRunsAsLost(worker_state& worker, std::string_view cause, const instant& now) {
   if (!worker.runs.empty()) {
-    log_.Write(event_line{"runs_lost", event_weight::kBelief}
+    log_.Write(event_line{"runs_lost", event_weight::kStateChange}
                    .Add("worker", worker.facts.id)
                    .Add("runs", worker.runs.size())
                    .Add("cause", cause));
@@ -208,7 +208,7 @@
     worker.session = session_phase::kSilent;
     worker.recorded = false;
     workers_dirty_ = true;
-    log_.Write(event_line{"worker_silent", event_weight::kBelief}
+    log_.Write(event_line{"worker_silent", event_weight::kStateChange}
                    .Add("worker", worker_id)
                    .Add("runs", worker.runs.size())
                    .Add("lapses_in_ms", worker.lease_until - now.steady));
@@ -225,13 +225,13 @@
     RecordRoomForAnyStep();
   }
   if (how != "answered") {
-    log_.Write(event_line{"old_worker_settled", event_weight::kBelief}
+    log_.Write(event_line{"old_worker_settled", event_weight::kStateChange}
                    .Add("worker", id)
                    .Add("how", how)
                    .Add("left", unsettled_.size()));
   }
   if (unsettled_.empty()) {
-    log_.Write(event_line{"old_runs_settled", event_weight::kBelief}
+    log_.Write(event_line{"old_runs_settled", event_weight::kStateChange}
                    .Add("epoch", epoch_)
                    .Add("took_ms", now.steady - restored_at_));
   }
@@ -270,7 +270,7 @@
       continue;
     }
     if (worker.health.RecordFailure(settings_, now.steady)) {
-      log_.Write(event_line{"worker_quarantined", event_weight::kBelief}
+      log_.Write(event_line{"worker_quarantined", event_weight::kStateChange}
                      .Add("worker", worker.facts.id)
                      .Add("cause", "no_progress"));
     }
--- a/src/rosearch/sched/scheduler_runs.cc
+++ b/src/rosearch/sched/scheduler_runs.cc
@@ -187,7 +187,7 @@
     worker.health.RecordSuccess();
     RecordRunSpeed(run, took);
   } else if (how == end_kind::kFailed && worker.health.RecordFailure(settings_, now.steady)) {
-    log_.Write(event_line{"worker_quarantined", event_weight::kBelief}
+    log_.Write(event_line{"worker_quarantined", event_weight::kStateChange}
                    .Add("worker", worker.facts.id)
                    .Add("cause", "failures"));
   }
--- a/src/rosearch/sched/scheduler_store.cc
+++ b/src/rosearch/sched/scheduler_store.cc
@@ -112,7 +112,7 @@
   }
   workers_dirty_ = true;
   restored_at_ = now.steady;
-  log_.Write(event_line{"state_restored", event_weight::kBelief}
+  log_.Write(event_line{"state_restored", event_weight::kStateChange}
                  .Add("epoch", epoch_)
                  .Add("jobs", jobs_.size())
                  .Add("ended", ended_.size())
--- a/test/rosearch/log/bounded_log_test.cc
+++ b/test/rosearch/log/bounded_log_test.cc
@@ -54,21 +54,21 @@
 TEST_CASE("a stalled reader never blocks the writer") {
   pipe_pair ends;
   bounded_log_settings settings{ends.writer()};
-  settings.other_lines_per_second = 1'000'000;
+  settings.max_other_lines_per_second = 1'000'000;
   bounded_log log{settings};
   const auto before = std::chrono::steady_clock::now();
   for (int at = 0; at < 20'000; ++at) {
-    log.Write(event_line{"worker_silent", event_weight::kBelief}.Add("worker", at));
+    log.Write(event_line{"worker_silent", event_weight::kStateChange}.Add("worker", at));
   }
   log.Flush();
   CHECK(std::chrono::steady_clock::now() - before < std::chrono::seconds{5});
-  CHECK(log.Dropped() > 0);
+  CHECK(log.DroppedLines() > 0);
 }
 
 TEST_CASE("a flood of ordinary lines leaves room for failures, and is counted") {
   pipe_pair ends;
   bounded_log_settings settings{ends.writer()};
-  settings.detail_lines_per_second = 10;
+  settings.max_detail_lines_per_second = 10;
   bounded_log log{settings};
   for (int at = 0; at < 100; ++at) {
     log.Write(event_line{"run_ordered", event_weight::kDetail}.Add("n", at));
@@ -81,7 +81,7 @@
   CHECK(text.find("n=10\n") == std::string::npos);
   CHECK(text.find("job_accepted") != std::string::npos);
   CHECK(text.find("job_refused") != std::string::npos);
-  CHECK(log.Dropped() == 90);
+  CHECK(log.DroppedLines() == 90);
 }
 
 }  // namespace rosearch
