--- a/src/rosearch/cell/advice_dispatcher.h
+++ b/src/rosearch/cell/advice_dispatcher.h
@@ -20,9 +20,10 @@
 /// queries, and a share of the helpers never sends long queries, so that urgent queries never
 /// suffer head-of-line blocking by long ones.
 ///
-/// Queries are sent in the order of their due time: the time of arrival plus a delay per level of
-/// priority. Strict priority order starves the lowest priority, because steps query again each time
-/// their tickets expire: on a replayed day, 130 queries waited for 30 s and more.
+/// Urgent queries are sent before long ones, and within each kind in the order of their due time:
+/// the time of arrival plus a delay per level of priority. Strict priority order starves the lowest
+/// priority, because steps query again each time their tickets expire: in one day, 130 queries
+/// waited for 30 s and more.
 class advice_dispatcher {
  public:
   /// A query and the helper that sends it.
--- a/src/rosearch/cell/peer_choice.cc
+++ b/src/rosearch/cell/peer_choice.cc
@@ -7,7 +7,7 @@
 namespace rosearch::cell {
 namespace {
 
-/// A leader of at max_count this many workers uses no relays.
+/// A leader with at most this many workers uses no relays.
 constexpr std::size_t kMaxUnrelayedWorkers = 150;
 
 /// Number of worker connections that the processor share of one relay can serve.
--- a/src/rosearch/cell/relayed_client.h
+++ b/src/rosearch/cell/relayed_client.h
@@ -21,7 +21,7 @@
 /// The routes that one exchange may take to its target.
 struct route_options {
   /// Whether a peer may make the exchange if this process can't. Only for idempotent requests, or
-  /// with a `answer_timeout` of zero.
+  /// with an `answer_timeout` of zero.
   bool allow_peer{true};
   /// Whether an answer of 429 or 503 may concern this process alone, so that a peer tries as well.
   bool retry_refusal_by_peer{false};
